--- /dev/null
+++ b/pool/encoding_test.go
@@ -0,0 +1,34 @@
+// SPDX-License-Identifier: MIT
+
+package pool
+
+import (
+	"testing"
+
+	"github.com/frankban/quicktest"
+
+	"rackstep.dev/internal/golden"
+	"rackstep.dev/job"
+)
+
+// What a leader keeps for the next one is read by leaders of other versions.
+func TestStoredFormsStay(t *testing.T) {
+	c := quicktest.New(t)
+	var lessons keptLessons
+	golden.Fill(&lessons)
+	golden.Check(c, "lessons", lessons, job.Encode, job.Decode)
+	var wave keptWave
+	golden.Fill(&wave)
+	golden.Check(c, "wave", wave, job.Encode, job.Decode)
+	var life keptLife
+	golden.Fill(&life)
+	golden.Check(c, "life", life, job.Encode, job.Decode)
+	golden.Check(c, "workers", []keptWorker{{Life: "life", Machine: "machine", Pool: "pool", Address: "address"}}, job.Encode, job.Decode)
+}
+
+// The keys of what a leader keeps are read by leaders of other versions.
+func TestStoredKeysStay(t *testing.T) {
+	c := quicktest.New(t)
+	c.Check([]string{stateKey, lostKey, lateKey, waveKey, lifeKey, workersKey, instancesKey, lessonsKey, takenKey}, quicktest.DeepEquals,
+		[]string{"s/", "l/", "o/", "wave/", "w/", "workers", "instances", "lessons", "t/"})
+}
