--- a/org/directory.go
+++ b/org/directory.go
@@ -13,22 +13,22 @@
 	"rackstep.dev/job"
 )
 
-// Digest is what is kept of a key: its SHA-256.
+// Digest is the SHA-256 of an API key. Keys themselves are not stored.
 type Digest [sha256.Size]byte
 
-// maxKey is the longest key that a caller may show, in bytes: a longer one is unknown without being hashed.
-const maxKey = 256
+// maxKeyLen bounds keys in bytes. A longer key is rejected without being hashed.
+const maxKeyLen = 256
 
-// DigestOf returns what is kept of a key. It allocates nothing for keys that callers may show.
+// DigestOf returns the digest of a key. It does not allocate for keys up to maxKeyLen bytes.
 func DigestOf(key string) Digest {
-	var buf [maxKey]byte
+	var buf [maxKeyLen]byte
 	if len(key) > len(buf) {
 		return sha256.Sum256([]byte(key))
 	}
 	return sha256.Sum256(buf[:copy(buf[:], key)])
 }
 
-// ParseDigest reads a digest in hexadecimal.
+// ParseDigest parses a digest in hexadecimal.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	b, err := hex.DecodeString(s)
@@ -39,29 +39,30 @@
 	return d, nil
 }
 
-// Organisation is who hands in work.
+// Organisation is a tenant that submits jobs.
 type Organisation struct {
 	Name string
-	// Keys are the digests of the keys that it may show.
+	// Keys are the digests of its API keys.
 	Keys []Digest
-	// Weight is its share where all want more than there is; it is also how many jobs a second it may send before they count as beyond its
-	// rate, see Rate.
+	// Weight determines its share when the organisations together want more than there is. It is also the number of
+	// jobs per second that it may submit before further ones count as over its rate; see Rate.
 	Weight float64
-	// Cap bounds what it may have running, over all pools; a figure of 0 bounds nothing.
+	// Cap limits the resources that its running tasks may use over all pools. A figure of 0 means no limit.
 	Cap job.Need
 }
 
-// Covers says whether a total is within the cap.
+// WithinCap reports whether a total is within the cap.
 func (o *Organisation) Covers(total job.Need) bool {
 	return within(total, o.Cap, total)
 }
 
-// maxName bounds a name in bytes: it is part of the keys under which jobs are kept, of which the users' store takes 255.
-const maxName = 200
+// maxNameLen bounds names in bytes. The name is part of the keys under which jobs are stored, and the users' store
+// limits keys to 255 bytes.
+const maxNameLen = 200
 
-// ConfigError says what is wrong with the organisations of a configuration, and what to do.
+// ConfigError is a mistake in the configuration of an organisation.
 type ConfigError struct {
-	// Organisation is the name of the one at fault; Problem and Remedy are sentences.
+	// Organisation is the name of the organisation at fault. Problem says what is wrong and Remedy how to fix it.
 	Organisation, Problem, Remedy string
 }
 
@@ -70,36 +71,37 @@
 	return fmt.Sprintf("organisation %q: %s; %s", e.Organisation, e.Problem, e.Remedy)
 }
 
-// Directory is one version of the organisations; the zero value has none.
+// Directory is one version of the set of organisations. The zero value is empty.
 type Directory struct {
 	byName map[string]*Organisation
 	byKey  map[Digest]*Organisation
 }
 
-// NewDirectory returns the directory of the rows, or a joined error with a ConfigError for each mistake; then nothing is in force.
+// NewDirectory returns a directory of the given organisations. If there are mistakes, it returns no directory and a
+// joined error with one ConfigError for each.
 func NewDirectory(rows []Organisation) (*Directory, error) {
 	d := &Directory{byName: make(map[string]*Organisation, len(rows)), byKey: make(map[Digest]*Organisation)}
 	var problems []error
 	for i := range rows {
 		o := &rows[i]
-		wrong := func(problem, remedy string) {
+		report := func(problem, remedy string) {
 			problems = append(problems, &ConfigError{Organisation: o.Name, Problem: problem, Remedy: remedy})
 		}
 		switch {
-		case o.Name == "" || len(o.Name) > maxName:
-			wrong("its name is empty or too long", fmt.Sprintf("give it 1 to %d bytes", maxName))
+		case o.Name == "" || len(o.Name) > maxNameLen:
+			report("its name is empty or too long", fmt.Sprintf("give it 1 to %d bytes", maxNameLen))
 		case d.byName[o.Name] != nil:
-			wrong("it stands twice", "give each organisation once")
+			report("its name occurs twice", "list each organisation once")
 		}
 		if math.IsNaN(o.Weight) || o.Weight <= 0 || math.IsInf(o.Weight, 0) {
-			wrong("its weight is not above 0", "give a positive number")
+			report("its weight is not above 0", "give a positive number")
 		}
 		if o.Cap.Lacks() {
-			wrong("its cap is negative", "give a positive figure, or 0 for no limit")
+			report("its cap is negative", "give a positive figure, or 0 for no limit")
 		}
 		for _, k := range o.Keys {
 			if other := d.byKey[k]; other != nil && other != o {
-				wrong("one of its keys is also that of "+other.Name, "make a new key for one of them")
+				report("it shares a key with organisation "+other.Name, "create a new key for one of them")
 			}
 			d.byKey[k] = o
 		}
@@ -111,7 +113,7 @@
 	return d, nil
 }
 
-// Len returns how many organisations there are.
+// Len returns the number of organisations.
 func (d *Directory) Len() int {
 	if d == nil {
 		return 0
@@ -119,7 +121,7 @@
 	return len(d.byName)
 }
 
-// Of returns the organisation with the name, or nil.
+// ByName returns the organisation with the given name, or nil.
 func (d *Directory) Of(name string) *Organisation {
 	if d == nil {
 		return nil
@@ -127,8 +129,8 @@
 	return d.byName[name]
 }
 
-// bounded says whether any organisation has a cap.
-func (d *Directory) bounded() bool {
+// hasCaps reports whether any organisation has a cap.
+func (d *Directory) hasCaps() bool {
 	if d == nil {
 		return false
 	}
@@ -140,17 +142,18 @@
 	return false
 }
 
-// Who returns the organisation that a key belongs to, or nil.
+// ByKey returns the organisation that the key belongs to, or nil.
 //
-// What a caller can measure tells it of the digest of what it has shown, which it knows, and nothing of others' keys.
+// The map lookup by digest does not run in constant time. Its timing only depends on the digest of the presented
+// key, which the caller knows, and reveals nothing about the keys of others.
 func (d *Directory) Who(key string) *Organisation {
-	if d == nil || key == "" || len(key) > maxKey {
+	if d == nil || key == "" || len(key) > maxKeyLen {
 		return nil
 	}
 	return d.Owner(DigestOf(key))
 }
 
-// Owner returns the organisation that a key with the digest belongs to, or nil.
+// ByDigest returns the organisation that has a key with the given digest, or nil.
 func (d *Directory) Owner(digest Digest) *Organisation {
 	if d == nil {
 		return nil
--- a/org/directory_test.go
+++ b/org/directory_test.go
@@ -24,7 +24,7 @@
 
 func TestAKeyNamesOneOrganisation(t *testing.T) {
 	c := quicktest.New(t)
-	long := strings.Repeat("k", maxKey)
+	long := strings.Repeat("k", maxKeyLen)
 	d := directory(c,
 		Organisation{Name: "a", Weight: 1, Keys: []Digest{DigestOf("key-a1"), DigestOf("key-a2")}},
 		Organisation{Name: "b", Weight: 2, Keys: []Digest{DigestOf(long)}},
@@ -49,13 +49,13 @@
 		rows []Organisation
 		want []string
 	}{
-		{"twice", []Organisation{{Name: "a", Weight: 1}, {Name: "a", Weight: 1}}, []string{`organisation "a": it stands twice; give each organisation once`}},
-		{"a key for two", []Organisation{{Name: "a", Weight: 1, Keys: []Digest{secret}}, {Name: "b", Weight: 1, Keys: []Digest{secret}}}, []string{`organisation "b": one of its keys is also that of a; make a new key for one of them`}},
+		{"twice", []Organisation{{Name: "a", Weight: 1}, {Name: "a", Weight: 1}}, []string{`organisation "a": its name occurs twice; list each organisation once`}},
+		{"a key for two", []Organisation{{Name: "a", Weight: 1, Keys: []Digest{secret}}, {Name: "b", Weight: 1, Keys: []Digest{secret}}}, []string{`organisation "b": it shares a key with organisation a; create a new key for one of them`}},
 		{"a negative cap", []Organisation{{Name: "a", Weight: 1, Cap: job.Need{MemoryMB: -1}}}, []string{"its cap is negative; give a positive figure, or 0 for no limit"}},
 		{"no weight", []Organisation{{Name: "a"}}, []string{"its weight is not above 0; give a positive number"}},
 		{"no number", []Organisation{{Name: "a", Weight: math.NaN()}}, []string{"its weight is not above 0"}},
 		{"no name", []Organisation{{Weight: 1}}, []string{"its name is empty or too long; give it 1 to 200 bytes"}},
-		{"several", []Organisation{{Name: "a", Weight: -1}, {Name: "a", Weight: 1}}, []string{"weight", "twice"}},
+		{"several", []Organisation{{Name: "a", Weight: -1}, {Name: "a", Weight: 1}}, []string{"its weight is not above 0", "its name occurs twice"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestWhatAnEntryThatDoesNotSeeTheConfigurationAnswers weighs both mistakes: a key that may be new must not be called unknown, and one that
-// may have been withdrawn must not open for ever.
+// Guards against two mistakes of an entry that can't read the configuration: rejecting a key that may have been
+// added since, and accepting a key without end that may have been revoked since.
 func TestWhatAnEntryThatDoesNotSeeTheConfigurationAnswers(t *testing.T) {
 	c := quicktest.New(t)
 	p := Patience{Unknown: 3 * time.Second, Known: 9 * time.Second}
@@ -115,7 +115,8 @@
 	}
 }
 
-// BenchmarkWho gives the look-up of a key among 350 organisations with two keys each; it must take under 200 ns and allocate nothing.
+// BenchmarkWho measures the lookup of a key among 350 organisations with two keys each. It must take less than 200
+// ns and must not allocate.
 func BenchmarkWho(b *testing.B) {
 	var rows []Organisation
 	for i := range 350 {
--- a/org/ledger.go
+++ b/org/ledger.go
@@ -9,24 +9,26 @@
 	"rackstep.dev/job"
 )
 
-// account is what one organisation has running.
+// account is the resource usage of one organisation.
 type account struct {
 	held job.Need
 	runs int
 }
 
-// Ledger counts what organisations have running, and knows what they may have. The zero value is ready and bounds nothing; it belongs to one
-// goroutine.
+// Ledger counts the resources that each organisation's runs use, and knows the limits. The zero value is ready to
+// use and has no limits. A Ledger is not safe for concurrent use.
 //
 // Work without an organisation is not counted.
 type Ledger struct {
 	directory *Directory
 	accounts  map[string]*account
-	// former are the organisations that were taken away, as they last were: what was accepted of them runs on under their caps.
+	// former holds the last known settings of organisations that were removed. Their accepted jobs continue to run
+	// under their caps.
 	former map[string]*Organisation
 }
 
-// SetDirectory puts a version in force: what runs is counted on, and a cap that was lowered stops nothing.
+// SetDirectory installs a version of the directory. Running tasks remain counted, and none is stopped when a cap is
+// lowered.
 func (l *Ledger) SetDirectory(d *Directory) {
 	if l.directory != nil {
 		for name, o := range l.directory.byName {
@@ -42,7 +44,8 @@
 	l.directory = d
 }
 
-// Of returns the organisation as the version in force has it, or as it last was; nil for one that was never named.
+// Organisation returns the current settings of an organisation, the last known ones if it was removed, or nil if it
+// was never configured.
 func (l *Ledger) Of(name string) *Organisation {
 	if o := l.directory.Of(name); o != nil {
 		return o
@@ -50,7 +53,7 @@
 	return l.former[name]
 }
 
-// Directory returns the version in force, nil before the first.
+// Directory returns the installed directory, or nil before the first SetDirectory.
 func (l *Ledger) Directory() *Directory { return l.directory }
 
 func (l *Ledger) account(name string) *account {
@@ -65,7 +68,7 @@
 	return a
 }
 
-// Take counts a run in. A nil Ledger counts nothing.
+// Acquire adds a run to the ledger. It does nothing on a nil Ledger.
 func (l *Ledger) Take(name string, n job.Need) {
 	if l == nil || name == "" {
 		return
@@ -74,7 +77,7 @@
 	a.held, a.runs = a.held.Plus(n), a.runs+1
 }
 
-// Return counts a run out that has surely ended, or never began.
+// Release removes a run that has certainly ended or was never started. It does nothing on a nil Ledger.
 func (l *Ledger) Return(name string, n job.Need) {
 	if l == nil || name == "" {
 		return
@@ -86,7 +89,7 @@
 	}
 }
 
-// Held returns what the organisation has running, and in how many runs.
+// Held returns the resources that the organisation's runs use and the number of these runs.
 func (l *Ledger) Held(name string) (job.Need, int) {
 	if a := l.accounts[name]; a != nil {
 		return a.held, a.runs
@@ -94,11 +97,12 @@
 	return job.Need{}, 0
 }
 
-// Names returns the organisations that have something running, in the order of their names.
+// Names returns the sorted names of the organisations that have runs.
 func (l *Ledger) Names() []string { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// Over says whether the organisation has more running than it may, counting the run of that need, which may be the only one: its order must
-// not leave then. It happens when a cap is lowered between a decision and its order.
+// OverCap reports whether the organisation exceeds its cap while it has other runs besides the given one of need n,
+// which is already counted. Its order must not be sent then. This happens when a cap is lowered after the task was
+// placed and before its order is sent.
 func (l *Ledger) Over(name string, n job.Need) bool {
 	o := l.Of(name)
 	if o == nil {
@@ -108,18 +112,19 @@
 	return runs > 1 && !within(held, o.Cap, n)
 }
 
-// Bounded says whether any organisation has a cap.
+// HasCaps reports whether any organisation, current or former, has a cap.
 func (l *Ledger) Bounded() bool {
 	for _, o := range l.former {
 		if o.Cap != (job.Need{}) {
 			return true
 		}
 	}
-	return l.directory.bounded()
+	return l.directory.hasCaps()
 }
 
-// Draft returns a copy to decide on. What an organisation may have running without its being counted, since nobody has told of it yet, is
-// unknown: it counts against its cap; nothing is unknown when nil.
+// Draft returns a working copy for one placement decision. The function unknown returns resources that an
+// organisation may use in runs that have not been reported yet; they count against its cap. A nil function means
+// that there are none.
 func (l *Ledger) Draft(unknown func(name string) job.Need) *Draft {
 	if unknown == nil {
 		unknown = func(string) job.Need { return job.Need{} }
@@ -127,24 +132,25 @@
 	return &Draft{ledger: l, unknown: unknown, taken: make(map[string]account)}
 }
 
-// within says whether a total respects a cap in all that the need asks for: what is over already in memory does not keep a task
-// without memory from starting.
+// within reports whether total is within limit in every resource that need asks for. A task that needs no memory may
+// start although the memory limit is exceeded.
 func within(total, limit, need job.Need) bool {
 	return (limit.MilliCPU == 0 || need.MilliCPU == 0 || total.MilliCPU <= limit.MilliCPU) &&
 		(limit.MemoryMB == 0 || need.MemoryMB == 0 || total.MemoryMB <= limit.MemoryMB) &&
 		(limit.GPU == 0 || need.GPU == 0 || total.GPU <= limit.GPU)
 }
 
-// Draft is a Ledger with what one decision adds to it.
+// Draft is a Ledger plus the runs that one placement decision adds.
 type Draft struct {
 	ledger  *Ledger
 	unknown func(name string) job.Need
 	taken   map[string]account
 }
 
-// Admits says whether the organisation may have that many more runs of the need, all of them. A nil Draft admits everything.
+// Admits reports whether the organisation may start the given number of further runs of need n, all of them
+// together. A nil Draft admits everything.
 //
-// A single run that is larger than the cap is admitted when it is alone.
+// A single run that is larger than the cap is admitted when the organisation has no other run.
 func (d *Draft) Admits(name string, n job.Need, runs int) bool {
 	if d == nil || name == "" || runs <= 0 {
 		return true
@@ -161,10 +167,10 @@
 	return within(held.Plus(unknown).Plus(n.Times(runs)), o.Cap, n)
 }
 
-// Take adds runs to the draft, Return takes them out again.
+// Acquire adds a run to the draft.
 func (d *Draft) Take(name string, n job.Need) { d.change(name, n, 1) }
 
-// Return takes out a run that Take had added.
+// Release removes a run that Acquire has added.
 func (d *Draft) Return(name string, n job.Need) { d.change(name, job.Need{}.Minus(n), -1) }
 
 func (d *Draft) change(name string, n job.Need, runs int) {
@@ -175,15 +181,15 @@
 	d.taken[name] = account{held: a.held.Plus(n), runs: a.runs + runs}
 }
 
-// held returns what an organisation would have running.
+// held returns the usage including the draft's runs.
 func (d *Draft) held(name string) (job.Need, int) {
 	held, runs := d.ledger.Held(name)
 	a := d.taken[name]
 	return held.Plus(a.held), runs + a.runs
 }
 
-// Share returns which part of a whole the organisation holds, by the resource of which it holds most, divided by its weight: who has the
-// least is served first where all want more (dominant resource fairness). Without a weight it counts as 1.
+// Share returns the organisation's dominant share of the total resources divided by its weight, as in dominant
+// resource fairness: where there is not enough for all, the organisation with the lowest value is served first.
 func (d *Draft) Share(name string, whole job.Need) float64 {
 	if d == nil || name == "" {
 		return 0
@@ -192,7 +198,7 @@
 	return Dominant(held, whole) / d.Weight(name)
 }
 
-// Weight returns the organisation's weight, 1 when it has none any more.
+// Weight returns the organisation's weight, or 1 if it is not known.
 func (d *Draft) Weight(name string) float64 {
 	if d == nil {
 		return 1
@@ -203,7 +209,8 @@
 	return 1
 }
 
-// Dominant returns the largest part that a need is of a whole, over all resources of which there are any.
+// Dominant returns the largest fraction that need n takes of any resource of the total. Resources with a total of 0
+// are ignored.
 func Dominant(n, whole job.Need) float64 {
 	most := 0.0
 	for _, x := range [...]struct{ need, whole int }{{n.MilliCPU, whole.MilliCPU}, {n.MemoryMB, whole.MemoryMB}, {n.GPU, whole.GPU}} {
--- a/org/ledger_test.go
+++ b/org/ledger_test.go
@@ -52,7 +52,7 @@
 			}
 			d := l.Draft(func(string) job.Need { return test.unknown })
 			c.Assert(d.Admits("a", test.more, test.runs), quicktest.Equals, test.want)
-			c.Assert(d.Admits("", test.more, test.runs), quicktest.IsTrue, quicktest.Commentf("nobody's work is bounded by no cap"))
+			c.Assert(d.Admits("", test.more, test.runs), quicktest.IsTrue, quicktest.Commentf("work without an organisation has no cap"))
 			c.Assert(d.Admits("free", test.more, test.runs), quicktest.IsTrue)
 		})
 	}
@@ -87,7 +87,7 @@
 	l.Return("a", need(1000, 0))
 	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsFalse)
 	l.SetDirectory(directory(c, Organisation{Name: "a", Weight: 2, Cap: need(500, 0)}))
-	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsFalse, quicktest.Commentf("it is alone"))
+	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsFalse, quicktest.Commentf("it is the only run"))
 }
 
 func TestAnOrganisationThatWasTakenAwayKeepsItsCap(t *testing.T) {
@@ -99,7 +99,7 @@
 	c.Assert(l.Bounded(), quicktest.IsTrue)
 }
 
-// TestTheLedgerIsWhatWasTakenAndNotReturned compares random histories with a plain sum.
+// Compares the ledger with plain sums over random sequences of added and removed runs.
 func TestTheLedgerIsWhatWasTakenAndNotReturned(t *testing.T) {
 	c := quicktest.New(t)
 	r := rand.New(rand.NewPCG(1, 1))
--- a/org/rate.go
+++ b/org/rate.go
@@ -4,18 +4,18 @@
 
 import "time"
 
-// Rate tells which jobs an organisation sends beyond what it may send: Weight jobs a second, in every second that slides. The zero
-// value is ready; it belongs to one goroutine.
+// Rate detects jobs that an organisation submits over its rate of Weight jobs per second, counted in a sliding
+// window. The zero value is ready to use. A Rate is not safe for concurrent use.
 type Rate struct {
-	// sent are the times of the jobs of the last second that were within the rate, oldest first.
+	// sent holds the times of the jobs of the last second that were within the rate, oldest first.
 	sent map[string][]time.Time
 }
 
-// rateSpan is the length of the sliding window that the users' rule counts jobs in.
-const rateSpan = time.Second
+// rateWindow is the length of the sliding window, as defined by the users' rule.
+const rateWindow = time.Second
 
-// Beyond takes note of a job and says whether it is beyond the rate; times must not fall by more than a moment. One that is
-// beyond does not count against those that follow.
+// Exceeded records a job and reports whether it is over the organisation's rate. Successive times must be roughly
+// ascending. Jobs over the rate do not count against later ones.
 func (r *Rate) Beyond(o *Organisation, at time.Time) bool {
 	if o == nil {
 		return false
@@ -24,18 +24,18 @@
 		r.sent = make(map[string][]time.Time)
 	}
 	sent := r.sent[o.Name]
-	for len(sent) > 0 && at.Sub(sent[0]) >= rateSpan {
+	for len(sent) > 0 && at.Sub(sent[0]) >= rateWindow {
 		sent = sent[1:]
 	}
-	beyond := float64(len(sent)) >= max(o.Weight, 1)
-	if !beyond {
+	over := float64(len(sent)) >= max(o.Weight, 1)
+	if !over {
 		sent = append(sent, at)
 	}
 	r.sent[o.Name] = sent
-	return beyond
+	return over
 }
 
-// Forget drops the organisations that no configuration names any more.
+// Forget drops the state of organisations that are not in the directory.
 func (r *Rate) Forget(d *Directory) {
 	for name := range r.sent {
 		if d.Of(name) == nil {
--- a/work/calls.go
+++ b/work/calls.go
@@ -10,112 +10,118 @@
 	"rackstep.dev/job"
 )
 
-// Errors of the calls to a worker.
+// Errors returned by Calls.
 var (
-	// ErrNotSent means that the worker was not reached and has done nothing.
-	ErrNotSent = errors.New("worker was not reached; nothing was done, try again later")
-	// ErrNoAnswer means that the call may have been done, or may still be done.
-	ErrNoAnswer = errors.New("worker gave no answer; look at what it runs before deciding")
-	// ErrCrowded means that nothing was sent, since this entry has no connection to spare for a worker that nothing is asked of.
-	ErrCrowded = errors.New("too many connections are open; ask again when others have been closed")
+	// ErrNotSent means that the worker was not reached and the call had no effect.
+	ErrNotSent = errors.New("worker could not be reached; the call had no effect, try again later")
+	// ErrNoAnswer means that the call may have taken effect, or may still do so.
+	ErrNoAnswer = errors.New("worker did not answer; check which runs it reports before retrying")
+	// ErrTooManyConnections means that nothing was sent: the entry is near its connection limit and does not open a
+	// connection to a worker that has no work.
+	ErrCrowded = errors.New("too many open connections; retry when others have been closed")
 )
 
-// Worker is one life of a worker instance, as the platform lists it.
+// Worker describes one life of a worker, as listed by the platform.
 type Worker struct {
-	// Life names this life, Machine the instance; a restart gives a new life.
+	// Life is the name of this life (see Life.String), Machine the name of the instance that it runs on. A restart
+	// begins a new life.
 	Life, Machine string
-	// ID is what the platform lists it under, and Birth tells its lives apart that bear it.
+	// ID is the worker's ID in the platform's list. Birth distinguishes the lives that share an ID.
 	ID         string
 	Birth      Birth
 	Pool       string
 	Address    string
 	DataCentre string
-	// Labels are the instance's; Rack is one of them.
+	// Labels are those of the instance. Rack is one of them.
 	Labels []string
 	Rack   string
-	Room   job.Need
-	// Cold is for how much longer it is slow since its start, as of its entry in the list.
+	// Capacity is the total capacity of the worker.
+	Room job.Need
+	// Cold is for how much longer the worker is slow after its start, counted from when the list entry was made.
 	Cold time.Duration
-	// Leaving says that the worker will end as planned; Remaining is the least time that remains.
+	// Leaving reports whether the worker is about to be shut down as planned; Remaining is the minimum time until
+	// then.
 	Leaving   bool
 	Remaining time.Duration
 }
 
-// Clock is a reading of a worker's own steady clock in milliseconds.
+// Clock is a reading of a worker's monotonic clock, in milliseconds.
 type Clock int64
 
-// Refusal is why a worker did not do what it was asked.
+// Refusal is the reason why a worker did not carry out an order.
 type Refusal uint8
 
-// Refusals of a worker.
+// Reasons for refusing an order.
 const (
-	// Done means that there is no refusal.
+	// Accepted means that the order was carried out.
 	Done Refusal = iota
 	// Fenced means that the worker has seen a higher fencing token.
 	Fenced
-	// Old means that the run is not above one that was stopped or ended there.
+	// OldRun means that the run's number is not higher than that of a run that was stopped or has ended there.
 	Old
-	// Late means that the deadline had passed.
+	// DeadlinePassed means that the order arrived after its deadline.
 	Late
-	// NoRoom means that the worker has not the room.
+	// NoRoom means that the worker lacks the free capacity.
 	NoRoom
-	// BadTicket means that the start needs another ticket.
+	// BadTicket means that the step may only be started with a valid ticket.
 	BadTicket
-	// Unknown means that the worker takes the order for a mistake.
+	// InvalidOrder stands for any other error status: the worker takes the order for a mistake.
 	Unknown
-	// Unhealthy means that the worker takes no orders now and has done nothing.
+	// Unhealthy means that the worker currently takes no orders; the order had no effect.
 	Unhealthy
-	// OtherLife means that the address belongs to another life now.
+	// OtherLife means that another life of the worker now serves the address.
 	OtherLife
 )
 
-// String returns the refusal's name.
+// String returns the name of the refusal.
 func (r Refusal) String() string {
 	return [...]string{"done", "fenced", "old run", "late", "no room", "bad ticket", "unknown", "unhealthy", "other life"}[r]
 }
 
-// Answer is what a worker said to an order.
+// Answer is a worker's answer to an order.
 type Answer struct {
 	Refusal Refusal
-	// Clock is the worker's clock when it answered, 0 if it did not tell.
+	// Clock is the worker's clock at the time of the answer, or 0 if it was not reported.
 	Clock Clock
-	// Birth is that of the life that answered, 0 if it did not tell.
+	// Birth identifies the life that answered, or is 0 if it was not reported.
 	Birth Birth
 }
 
-// Start orders a run.
+// Start is an order to start a run.
 type Start struct {
 	Task string
 	Run  int64
 	Text string
-	// Deadline is when all that runs there ends unless it is extended; an order that comes later does nothing.
+	// Deadline is when the lease of all runs on the worker expires unless it is extended. A worker ignores orders
+	// that arrive after it.
 	Deadline Clock
 	Fence    int64
 	Saved    string
 	Ticket   string
 }
 
-// Stop ends a run.
+// Stop is an order to stop a run.
 type Stop struct {
 	Task  string
 	Run   int64
 	Fence int64
 }
 
-// Hold extends the lease of all that runs there and asks what has become of it.
+// Hold extends the lease of all runs on the worker and asks for their status.
 type Hold struct {
 	Fence int64
-	// Acked is the number of the newest end that the worker may forget.
+	// Acked is the sequence number up to which the worker may discard its ended runs.
 	Acked int64
-	// Deadline extends the lease; it is left as it is when 0.
+	// Deadline is the new end of the lease; 0 leaves the lease unchanged.
 	Deadline Clock
-	// Wait is how long the answer may wait for an end.
+	// Wait is how long the worker may delay its answer until a run ends (long polling).
 	Wait time.Duration
-	// Idle says that nothing runs there as far as is known, so that the call may be left out while connections are short.
+	// Idle reports whether the worker has no runs as far as the caller knows. Such calls may be skipped while
+	// connections are scarce.
 	Idle bool
 }
 
-// Pace limits the share of time, in percent, for which a run works.
+// Pace limits a run to a percentage of the time, as a duty cycle.
 type Pace struct {
 	Task    string
 	Run     int64
@@ -123,38 +129,40 @@
 	Fence   int64
 }
 
-// How is the way a run ended.
+// Outcome is how a run ended.
 type How uint8
 
-// Ways in which a run ends.
+// Outcomes of a run.
 const (
-	// Other ways do not count against the task.
+	// Other outcomes do not count against the task.
 	Other How = iota
 	Succeeded
 	Failed
 	Stopped
 	Lapsed
-	// Broken runs lost another member of their gang, Alone ones waited for it in vain.
+	// Broken runs ended because another member of their gang was lost, Alone ones because the other members did not
+	// start in time.
 	Broken
 	Alone
 )
 
-// String returns the way's name.
+// String returns the name of the outcome.
 func (h How) String() string {
 	return [...]string{"other", "succeeded", "failed", "stopped", "lapsed", "broken", "alone"}[h]
 }
 
-// Row is one run that a worker lists.
+// RunStatus describes a run that is active on a worker.
 type Row struct {
 	Task    string
 	Run     int64
 	Saved   string
 	Percent int
-	// Gauge is the tail of a serving task in milliseconds, or the thousandths of a core in use.
+	// Gauge is the tail latency in milliseconds for a task that serves requests, otherwise the CPU usage in
+	// thousandths of a core.
 	Gauge float64
 }
 
-// End is one run that has ended; N rises by one from 1 within a life.
+// EndedRun is a run that has ended. Seq starts at 1 in each life and increases by one with each run that ends.
 type End struct {
 	N     int64
 	Task  string
@@ -163,25 +171,27 @@
 	Saved string
 }
 
-// Report is what a worker says in answer to a Hold.
+// Report is a worker's answer to a Hold.
 type Report struct {
 	Answer
 	Running []Row
 	Ended   []End
 }
 
-// Calls are the calls to workers; an adapter or a test fills them in.
+// Calls holds the functions that send orders to workers. A platform adapter or a test sets them.
 //
-// Errors are ErrNotSent and ErrNoAnswer; a refusal is no error.
+// The functions return ErrNotSent, ErrNoAnswer or ErrTooManyConnections. A refusal is reported in the Answer, not as
+// an error.
 type Calls struct {
 	Start func(ctx context.Context, w *Worker, o Start) (Answer, error)
 	Stop  func(ctx context.Context, w *Worker, o Stop) (Answer, error)
 	Hold  func(ctx context.Context, w *Worker, o Hold) (Report, error)
 	Pace  func(ctx context.Context, w *Worker, o Pace) (Answer, error)
-	// Forget closes what is open to the life.
+	// Forget closes the connections to the worker's life for good.
 	Forget func(w *Worker)
-	// Crowded says whether connections are short, so that workers without work should be asked seldom; Rest closes what is open to one meanwhile.
-	// Connections are never short when Crowded is nil.
+	// ConnectionsScarce reports whether the process is near its connection limit, so that workers without runs
+	// should be polled rarely. CloseIdle closes the connections to such a worker until its next poll. A nil
+	// ConnectionsScarce means that connections are never scarce.
 	Crowded func() bool
 	Rest    func(w *Worker)
 }
--- a/work/doc.go
+++ b/work/doc.go
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package work is what the product asks of one worker: to start, stop, pace and
-hold tasks.
+Package work defines the orders that the scheduler sends to a worker: start,
+stop, pace and hold.
 
-The calls are function fields that an adapter to a platform fills in:
+The calls are function fields that a platform adapter sets:
 
 	calls.Start(ctx, worker, work.Start{Task: name, Run: 7, Fence: f})
 
 Every call names the life of the worker that it is meant for and carries a
-fencing token; a worker does nothing for a lower token than it has seen. A
-call without an answer may have been done, or may still be done: Answer tells
-the two kinds of failure apart.
+fencing token; a worker rejects tokens that are lower than the highest one it
+has seen. The errors tell a call that had no effect (ErrNotSent) from one that
+may have taken effect or may still do so (ErrNoAnswer).
 
-Lease follows how long a worker may at the most go on running what it runs,
-without comparing clocks of different machines.
+Lease computes an upper bound on how long a worker may continue its runs,
+without requiring synchronized clocks.
 */
 package work
--- a/work/lease.go
+++ b/work/lease.go
@@ -4,23 +4,27 @@
 
 import "time"
 
-// slowest is the rate of the slowest clock that a worker may have, as the users' interface states it: 2% slow.
-const slowest = 0.98
+// minClockRate is the rate of the minClockRate worker clock that the platform allows: 2% slow, as stated in the users'
+// interface.
+const minClockRate = 0.98
 
-// Longest returns how long a lease of the duration can last by the local clock.
-func Longest(d time.Duration) time.Duration { return time.Duration(float64(d) / slowest) }
+// MaxLocal returns the longest time, by the local clock, that a lease of duration d by a worker's clock can last.
+func Longest(d time.Duration) time.Duration { return time.Duration(float64(d) / minClockRate) }
 
-// Lease follows the clock and the longest lease of one life of a worker; the zero value knows neither.
+// Lease tracks the clock of one life of a worker and an upper bound on the end of its leases. In the zero value both
+// are unknown.
 //
-// Its bound holds without comparing clocks: a deadline D sent after the reading C, which arrived at the local time R,
-// has passed there at the latest (D-C) on a slow clock after R.
+// The bound does not require synchronized clocks. Suppose that the worker's clock read C in a message that arrived
+// at local time R, and a deadline D was sent later. The lease then expires no later than R plus (D-C) stretched by
+// the slowest allowed clock rate.
 type Lease struct {
 	clock Clock
 	read  time.Time
 	until time.Time
 }
 
-// Read takes a reading of the worker's clock that has just arrived; older readings are passed over.
+// Observe records a reading of the worker's clock that has just arrived. Readings that are older than the latest one
+// are ignored.
 func (l *Lease) Read(c Clock, now time.Time) {
 	if c <= 0 || c < l.clock {
 		return
@@ -28,20 +32,22 @@
 	l.clock, l.read = c, now
 }
 
-// Known says whether the clock was ever read.
+// ClockKnown reports whether the clock has been read at least once.
 func (l *Lease) Known() bool { return l.clock > 0 }
 
-// Deadline returns a worker's time that is at the most the duration ahead of its clock, and 0 before any reading. The time
-// since the reading counts as a slow clock counts it, so that an old reading makes no lease longer.
+// Deadline returns a time on the worker's clock that is at most d ahead of it, or 0 if the clock is unknown. The
+// time since the last reading is converted at the slowest clock rate, so that an old reading never makes a lease
+// longer than d.
 func (l *Lease) Deadline(d time.Duration, now time.Time) Clock {
 	if l.clock == 0 {
 		return 0
 	}
-	since := time.Duration(float64(now.Sub(l.read)) * slowest)
+	since := time.Duration(float64(now.Sub(l.read)) * minClockRate)
 	return l.clock + Clock((since + d).Milliseconds())
 }
 
-// Sent takes note of a deadline that is on its way; it counts even if the call gets no answer.
+// Sent records a deadline that is being sent. It counts even if the call gets no answer, since the worker may have
+// received it.
 func (l *Lease) Sent(d Clock) {
 	if d == 0 {
 		return
@@ -49,12 +55,12 @@
 	l.Bound(l.read.Add(Longest(time.Duration(d-l.clock) * time.Millisecond)))
 }
 
-// Bound takes note that something may be leased there until the time, whoever leased it.
+// ExtendTo records that a lease, possibly granted by another leader, may last until the given local time.
 func (l *Lease) Bound(until time.Time) {
 	if until.After(l.until) {
 		l.until = until
 	}
 }
 
-// Until returns when, by the local clock, all leases that were taken note of have surely ended.
+// Until returns the local time after which all recorded leases have expired.
 func (l *Lease) Until() time.Time { return l.until }
--- a/work/life_test.go
+++ b/work/life_test.go
@@ -14,7 +14,7 @@
 	for _, l := range [...]Life{{ID: "i-1"}, {ID: "i-1", Birth: 1}, {ID: "i-1", Birth: 12}, {ID: "i-1", Birth: -3}, {ID: "i@1"}, {ID: "i@1", Birth: 2}, {ID: "i@"}, {}} {
 		name := l.String()
 		c.Check(ParseLife(name), quicktest.Equals, l, quicktest.Commentf("%q", name))
-		c.Check(names[name], quicktest.IsFalse, quicktest.Commentf("%q names two lives", name))
+		c.Check(names[name], quicktest.IsFalse, quicktest.Commentf("two lives have the name %q", name))
 		names[name] = true
 	}
 	c.Assert(Life{ID: "i-1"}.String(), quicktest.Equals, "i-1")
