--- a/job/doc.go
+++ b/job/doc.go
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package job holds the tables of jobs and what may happen to them.
+Package job defines jobs, their tasks and the transitions between their states.
 
-A Spec is what a client hands in: steps of tasks, with what each task needs.
-A Job is a Spec with what became of it. Its tasks are rows in one slice, in
-the order of (time, step, index), so that a task's place in that slice, its
-ordinal, names it in what is kept.
+A Spec is what a client submits: steps of tasks, with the resources that each
+task needs. A Job is a Spec and the state of its execution. Its tasks are
+stored in one slice, ordered by time, step and index. The index into that
+slice, the ordinal, identifies a task in stored records.
 
-The package is pure: it does no I/O and takes the time as a value. Package
-pool calls it from its one control goroutine.
+The package is pure: it does no I/O and takes the time as an argument. Package
+pool calls it from a single control goroutine.
 
 	j := job.New(spec, now)
-	j.Ready(now, func(t *job.Task) { ... })  // tasks whose turn has come
-	j.Done(t)                                // a run ended with success
+	if j.StepOpen(time, step, now) { ... }  // its tasks may start
+	j.Done(task, now)                       // a run has succeeded
 	if j.State.Ended() { ... }
 
-Kept is the part of a Job that must outlive every process: which tasks are
-done and which runs have failed. What runs where is not kept; the workers are
-asked for it.
+Stored is the part of a Job that must survive the loss of every process: which
+tasks are done, which runs have failed and which runs were ordered. What is
+actually running is not stored; the workers report it.
 */
 package job
--- a/job/job.go
+++ b/job/job.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// State is what is known of a whole job.
+// State is the state of a job.
 type State uint8
 
-// States of a Job; the last three are final.
+// States of a Job. The last three are final.
 const (
 	Queued State = iota
 	Running
@@ -19,77 +19,82 @@
 	Cancelled
 )
 
-// Ended says whether the state is final.
+// Ended reports whether the state is final.
 func (s State) Ended() bool { return s >= Succeeded }
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s State) String() string {
 	return [...]string{"queued", "running", "succeeded", "failed", "cancelled"}[s]
 }
 
-// Phase is where one task stands.
+// Phase is the execution phase of a task.
 type Phase uint8
 
 // Phases of a Task.
 const (
 	// Waiting tasks have no run.
 	Waiting Phase = iota
-	// Starting tasks have a run that was sent and not yet seen.
+	// Starting tasks have a run whose start was ordered and not confirmed yet.
 	Starting
-	// Active tasks have a run that the worker confirmed.
+	// Active tasks have a run that the worker has confirmed.
 	Active
-	// Finished tasks are done for good.
+	// Finished tasks have succeeded and are not started again.
 	Finished
 )
 
-// Task is one piece of work of a job.
+// Task is one unit of work of a job.
 type Task struct {
 	Job *Job
-	// Step, Time and Index name it within the job.
+	// Step, Time and Index identify the task within the job. Time is the number of the repetition, for jobs that
+	// repeat.
 	Step, Time, Index int
 	Phase             Phase
-	// Run is the number of the latest run, 0 before the first; Worker is where it is or was.
+	// Run is the number of the latest run, or 0 before the first. Worker is the life of the worker that it was
+	// assigned to.
 	Run    int64
 	Worker string
-	// Saved is the latest saved progress, empty for none.
+	// Saved is the latest saved progress, or empty if there is none.
 	Saved string
-	// FailedRuns are the runs that failed; each counts once.
+	// FailedRuns are the numbers of the failed runs. Each counts once.
 	FailedRuns []int64
-	// Since is when the run was ordered.
+	// RunSince is when this leader ordered the run or learned of it.
 	Since time.Time
-	// Percent is the progress that the worker last told.
+	// Percent is the progress that the worker last reported.
 	Percent int
-	// Gauge is the worker's rough figure of the last half second: the tail in milliseconds, or the cores in use.
+	// Gauge is the worker's rough measurement over the last half second: the tail latency in milliseconds for a
+	// task that serves requests, otherwise the CPU usage in thousandths of a core.
 	Gauge float64
-	// NotBefore is when the task may be started again, after a failure or a refusal; Held says that this time has not come.
+	// NotBefore is the earliest time of the next start after a failure or a refusal. BackingOff reports that this
+	// time had not come when the task was last considered.
 	NotBefore time.Time
 	Held      bool
-	// LateUntil is the time until which an unanswered start of the task may still be carried out by a later life of its worker; the task is not
-	// started elsewhere before then. The zero time means that no such start is outstanding.
+	// LateUntil is the time until which a later life of the worker may still carry out an unanswered start of the
+	// task. The task is not started elsewhere before then. The zero time means that no such start is outstanding.
 	LateUntil time.Time
-	// Refused counts its starts that were refused in a row, Failures the runs in a row that ended soon: of a lasting task
-	// those that failed, of any those that ended in a way that is not named.
+	// Refused counts the consecutive stepOffsets that were refused. Failures counts the consecutive runs that ended
+	// soon: for a lasting task those that failed, for any task also those with an unspecified outcome.
 	Refused, Failures int
-	// Stopping says that the run was told to stop.
+	// Stopping reports that the run was told to stop.
 	Stopping bool
-	// Lost are the runs whose worker's life ended under them, oldest first; Suspect says that the next run is to be tried apart.
+	// Lost are the runs during which the life of the worker ended, oldest first. Suspect reports that the next run
+	// must be an isolated trial, because the task may have crashed its worker.
 	Lost    []LostRun
 	Suspect bool
-	// Avoid is the worker on which it failed last.
+	// Avoid is the worker on which the task failed last.
 	Avoid string
-	// Gone is since when a lasting task is not at work; zero while it is.
+	// DownSince is when a lasting task stopped being at work, or zero while it is at work.
 	Gone time.Time
-	// AtWork says that a lasting task has been seen at work in this run.
+	// AtWork reports that a lasting task has been seen at work in the current run.
 	AtWork bool
 }
 
-// Ordinal returns the task's place among the job's tasks.
+// Ordinal returns the index of the task among the job's tasks.
 func (t *Task) Ordinal() int { return t.Job.ordinal(t.Time, t.Step, t.Index) }
 
-// Spec returns the task's step.
+// Spec returns the step that the task belongs to.
 func (t *Task) Spec() *Step { return &t.Job.Spec.Steps[t.Step] }
 
-// Name returns ID.TIME.STEP.INDEX.
+// Name returns the name of the task in the form ID.TIME.STEP.INDEX.
 func (t *Task) Name() string {
 	b := make([]byte, 0, 32)
 	b = append(b, t.Job.Spec.ID...)
@@ -100,49 +105,51 @@
 	return string(b)
 }
 
-// Job is a Spec with what became of it.
+// Job is a Spec and the state of its execution.
 type Job struct {
 	Spec  *Spec
 	State State
-	// Tasks are in the order of time, step, index.
+	// Tasks are ordered by time, step and index.
 	Tasks []Task
-	// Left counts the tasks that are not finished, by time and step.
-	left []int
-	// Total counts all tasks that are not finished.
+	// unfinishedByStep counts the tasks that are not finished, by time and step.
+	unfinishedByStep []int
+	// Unfinished is the number of tasks that are not finished.
 	Total int
-	// Began says that a task of it has begun.
+	// Began reports that one of its tasks has been started.
 	Began bool
-	// Version rises with each change that must be kept; KeptVersion is the newest that is.
+	// Version increases with each change that must be stored. StoredVersion is the latest version that is stored.
 	Version, KeptVersion int64
 	// Ended is when the job reached its final state.
 	Ended time.Time
-	// Cancelling says that a cancel was accepted.
+	// Cancelling reports that a request to cancel was accepted.
 	Cancelling bool
-	// Received is when this process learned of the job; its aim counts from From, which is earlier for a job of before a takeover.
+	// Received is when this process learned of the job. From is when its target time stepOffsets, which is earlier for a
+	// job that was accepted before a takeover.
 	Received, From time.Time
-	// Beyond says that its organisation sent it beyond its rate: it runs in room that no other job wants.
-	Beyond  bool
-	perTime int
-	starts  []int
+	// OverRate reports that the organisation submitted the job beyond its rate, so that it only uses capacity that
+	// no other job wants.
+	Beyond       bool
+	tasksPerTime int
+	stepOffsets  []int
 }
 
-// New returns the job that was handed in.
+// New returns a job in its initial state.
 func New(s *Spec, now time.Time) *Job {
 	j := &Job{Spec: s, Received: now, From: now, Version: 1}
 	for i := range s.Steps {
-		j.starts = append(j.starts, j.perTime)
-		j.perTime += s.Steps[i].Count
+		j.stepOffsets = append(j.stepOffsets, j.tasksPerTime)
+		j.tasksPerTime += s.Steps[i].Count
 	}
 	times := max(s.Times, 1)
-	j.Tasks = make([]Task, times*j.perTime)
-	j.left = make([]int, times*len(s.Steps))
+	j.Tasks = make([]Task, times*j.tasksPerTime)
+	j.unfinishedByStep = make([]int, times*len(s.Steps))
 	j.Total = len(j.Tasks)
 	n := 0
-	for k := range times {
+	for repetition := range times {
 		for i := range s.Steps {
-			j.left[k*len(s.Steps)+i] = s.Steps[i].Count
-			for x := range s.Steps[i].Count {
-				j.Tasks[n] = Task{Job: j, Step: i, Time: k, Index: x}
+			j.unfinishedByStep[repetition*len(s.Steps)+i] = s.Steps[i].Count
+			for index := range s.Steps[i].Count {
+				j.Tasks[n] = Task{Job: j, Step: i, Time: repetition, Index: index}
 				n++
 			}
 		}
@@ -150,54 +157,58 @@
 	return j
 }
 
-func (j *Job) ordinal(k, step, index int) int { return k*j.perTime + j.starts[step] + index }
+func (j *Job) ordinal(repetition, step, index int) int {
+	return repetition*j.tasksPerTime + j.stepOffsets[step] + index
+}
 
-// Task returns a task by name, or nil when the job has none such.
-func (j *Job) Task(k, step, index int) *Task {
-	if k < 0 || step < 0 || index < 0 || k >= max(j.Spec.Times, 1) || step >= len(j.Spec.Steps) || index >= j.Spec.Steps[step].Count {
+// Task returns the task with the given time, step and index, or nil if the job has no such task.
+func (j *Job) Task(repetition, step, index int) *Task {
+	if repetition < 0 || step < 0 || index < 0 || repetition >= max(j.Spec.Times, 1) || step >= len(j.Spec.Steps) || index >= j.Spec.Steps[step].Count {
 		return nil
 	}
-	return &j.Tasks[j.ordinal(k, step, index)]
+	return &j.Tasks[j.ordinal(repetition, step, index)]
 }
 
-// StepTasks returns the tasks of the step of one time.
-func (j *Job) StepTasks(k, step int) []Task {
-	first := j.ordinal(k, step, 0)
+// StepTasks returns the tasks of a step for one time.
+func (j *Job) StepTasks(repetition, step int) []Task {
+	first := j.ordinal(repetition, step, 0)
 	return j.Tasks[first : first+j.Spec.Steps[step].Count]
 }
 
-// Due returns when the time is due; jobs without times are due at once.
-func (j *Job) Due(k int) time.Time {
+// Due returns when the time is due. It returns the zero time for jobs without times, which are due at once.
+func (j *Job) Due(repetition int) time.Time {
 	if j.Spec.Times == 0 {
 		return time.Time{}
 	}
-	return j.Spec.First.Time().Add(time.Duration(k) * j.Spec.Every.Duration())
+	return j.Spec.First.Time().Add(time.Duration(repetition) * j.Spec.Every.Duration())
 }
 
-// StepOpen says whether all that the step waits for is done and its time has come.
-func (j *Job) StepOpen(k, step int, now time.Time) bool {
+// StepOpen reports whether all steps that the step depends on are done and its time is due.
+func (j *Job) StepOpen(repetition, step int, now time.Time) bool {
 	if j.State.Ended() || j.Cancelling {
 		return false
 	}
 	for _, a := range j.Spec.Steps[step].After {
-		if j.left[k*len(j.Spec.Steps)+a] > 0 {
+		if j.unfinishedByStep[repetition*len(j.Spec.Steps)+a] > 0 {
 			return false
 		}
 	}
-	return j.Spec.Times == 0 || !now.Before(j.Due(k))
+	return j.Spec.Times == 0 || !now.Before(j.Due(repetition))
 }
 
-// StepLeft returns how many tasks of the step of one time are not finished.
-func (j *Job) StepLeft(k, step int) int { return j.left[k*len(j.Spec.Steps)+step] }
+// StepUnfinished returns how many tasks of a step are not finished for one time.
+func (j *Job) StepLeft(repetition, step int) int {
+	return j.unfinishedByStep[repetition*len(j.Spec.Steps)+step]
+}
 
-// Done takes note of a run that ended with success; it says whether that was news.
+// Done records a run that succeeded. It reports whether this was new.
 func (j *Job) Done(t *Task, now time.Time) bool {
 	if t.Phase == Finished || t.Spec().Lasting {
 		return false
 	}
 	t.Phase = Finished
 	t.Saved = ""
-	j.left[t.Time*len(j.Spec.Steps)+t.Step]--
+	j.unfinishedByStep[t.Time*len(j.Spec.Steps)+t.Step]--
 	j.Total--
 	j.Began = true
 	j.Version++
@@ -207,7 +218,8 @@
 	return true
 }
 
-// Fail takes note of a run that failed; once that many of a task have, the job has failed. It says whether that was news.
+// Fail records a failed run. The job fails once the given number of runs of one task have failed. It reports whether
+// this was new.
 func (j *Job) Fail(t *Task, run int64, attempts int, now time.Time) bool {
 	for _, r := range t.FailedRuns {
 		if r == run {
@@ -226,7 +238,7 @@
 	return true
 }
 
-// Cancel ends the job unless it has ended; it says whether that was news.
+// Cancel ends the job unless it has already ended. It reports whether this was new.
 func (j *Job) Cancel(now time.Time) bool {
 	j.Cancelling = true
 	if j.State.Ended() {
@@ -242,7 +254,7 @@
 	j.Version++
 }
 
-// Shown is the state that clients may see: a final one only once it is kept.
+// VisibleState returns the state that clients may see. A final state is shown only once it is stored.
 func (j *Job) Shown() State {
 	switch {
 	case j.State.Ended() && j.KeptVersion >= j.Version:
@@ -253,16 +265,16 @@
 	return Queued
 }
 
-// Chain returns the longest chain of estimated work of one time.
+// CriticalPath returns the estimated duration of the longest chain of dependent steps for one time.
 func (j *Job) Chain() time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(j.Spec.Steps))
 	for i := range j.Spec.Steps {
-		var from time.Duration
+		var ready time.Duration
 		for _, a := range j.Spec.Steps[i].After {
-			from = max(from, ends[a])
+			ready = max(ready, ends[a])
 		}
-		ends[i] = from + j.Spec.Steps[i].Estimate.Duration()
+		ends[i] = ready + j.Spec.Steps[i].Estimate.Duration()
 		longest = max(longest, ends[i])
 	}
 	return longest
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -23,7 +23,7 @@
 	c.Assert(j.StepOpen(0, 0, start), quicktest.IsTrue)
 	c.Assert(j.StepOpen(0, 1, start), quicktest.IsFalse)
 	c.Assert(j.Done(j.Task(0, 0, 0), start), quicktest.IsTrue)
-	c.Assert(j.Done(j.Task(0, 0, 0), start), quicktest.IsFalse, quicktest.Commentf("an end that is told twice is no news"))
+	c.Assert(j.Done(j.Task(0, 0, 0), start), quicktest.IsFalse, quicktest.Commentf("a success that is reported twice counts once"))
 	c.Assert(j.StepOpen(0, 1, start), quicktest.IsFalse)
 	j.Done(j.Task(0, 0, 1), start)
 	c.Assert(j.StepOpen(0, 1, start), quicktest.IsTrue)
@@ -101,7 +101,7 @@
 	c.Assert(New(twoSteps(), start).Task(0, 2, 0), quicktest.IsNil)
 }
 
-// TestWhatIsKeptBringsAJobBack compares a job with its copy from what was kept, after random ends.
+// Compares a job with its copy restored from the stored state, after random successes, failures and starts.
 func TestWhatIsKeptBringsAJobBack(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		j := New(twoSteps(), start)
@@ -129,14 +129,14 @@
 		again := New(twoSteps(), start)
 		again.Restore(kept, start)
 		if again.State != j.State || (!j.State.Ended() && again.Total != j.Total) {
-			r.Fatalf("%v with %d left became %v with %d left", j.State, j.Total, again.State, again.Total)
+			r.Fatalf("restoring turned %v with %d unfinished tasks into %v with %d", j.State, j.Total, again.State, again.Total)
 		}
 		for i := range j.Tasks {
 			if !j.State.Ended() && (again.Tasks[i].Phase == Finished) != (j.Tasks[i].Phase == Finished) {
-				r.Fatalf("task %d differs", i)
+				r.Fatalf("task %d: finished differs after restoring", i)
 			}
 			if !j.State.Ended() && len(again.Tasks[i].FailedRuns) != len(j.Tasks[i].FailedRuns) {
-				r.Fatalf("task %d lost failed runs", i)
+				r.Fatalf("task %d: the number of failed runs differs after restoring", i)
 			}
 		}
 	})
--- a/job/late.go
+++ b/job/late.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// KeptLate is the stored form of a task's LateUntil.
+// StoredLate is the stored form of a task's LateUntil.
 type KeptLate struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
@@ -24,8 +24,8 @@
 // MayComeLate reports whether an unanswered start of the task may still be carried out.
 func (t *Task) MayComeLate(now time.Time) bool { return now.Before(t.LateUntil) }
 
-// KeepLate returns the tasks with starts that may still be carried out late, for storage. It converts LateUntil from the caller's clock, which reads now,
-// to wall-clock time, which is timeOfDay.
+// StoredLate returns, for storage, the tasks with starts that may still be carried out late. It converts LateUntil
+// from the caller's clock, which reads now, to wall-clock time, which is timeOfDay.
 func (j *Job) KeepLate(now, timeOfDay time.Time) []KeptLate {
 	var kept []KeptLate
 	for i := range j.Tasks {
--- a/job/lost.go
+++ b/job/lost.go
@@ -7,34 +7,41 @@
 	"time"
 )
 
-// Bounds of how often a task is started whose workers end.
+// Limits on how often a task is started whose workers crash. The life of a worker that ends during a run of the task
+// is a loss of that task.
 const (
-	// LostProved is after how many lives that ended under a task it may be given up, where the last of them proves that it was the task;
-	// the users allow as many. LostTried is the same where the last one only points at it.
+	// LossLimitConclusive is the number of losses after which the task is given up if the last one is conclusive
+	// evidence against it. The users' rules allow this many. LossLimitIsolated is the same if the last run was an
+	// isolated trial, which is weaker evidence.
 	LostProved = 2
 	LostTried  = 3
-	// LostMost is after how many it is given up whatever proves it: the users allow two starts after the third, and what a leader
-	// does not learn of must fit in there. With five, 2 of 2,000 histories full of such tasks had one start too many.
+	// LossLimit is the number of losses after which the task is given up regardless of the evidence. The users'
+	// rules allow two starts after the third loss, and starts that a new leader does not learn of count as well.
+	// With a limit of five, 2 of 2,000 random histories with many such tasks had one start too many.
 	LostMost = 4
 )
 
-// AgeUnknown is the age of a run whose order this leader did not send.
+// AgeUnknown is the age of a run whose start was not ordered by this leader.
 const AgeUnknown time.Duration = -1
 
-// LostRun is a run whose worker's life ended while it was or may have been there.
+// LostRun is a run during which the life of its worker ended, or that may have been there when it did.
 type LostRun struct {
 	Run  int64
 	Life string
-	// Age is how long after its order the life had ended, as far as the leader knew; AgeUnknown for a run that an earlier leader ordered.
+	// Age is how long after the order of the run the life ended, as far as the leader knows. It is AgeUnknown for a
+	// run that an earlier leader ordered.
 	Age time.Duration
-	// Suspects is how many runs, this one among them, may have ended the life by their age; 0 when this one most likely has not.
+	// Suspects is the number of runs, including this one, that may have ended the life, judging by their ages. It
+	// is 0 if this run most likely did not.
 	Suspects int
-	// Tried says that the run was tried apart and not cleared when the life ended, and Proved that its worker had confirmed it and ended at
-	// once, so that hardly anything else can have ended it.
+	// Isolated reports that the run was an isolated trial that had not been cleared when the life ended. Conclusive
+	// reports that the worker confirmed the run and its life ended at once, so that there is hardly any other
+	// explanation.
 	Tried, Proved bool
 }
 
-// Lose takes note of a run that was lost with its worker's life; each counts once. It says whether that was news.
+// RecordLost records that a run was lost with the life of its worker. Each run counts once. It reports whether this
+// was new.
 func (j *Job) Lose(t *Task, l LostRun) bool {
 	for _, o := range t.Lost {
 		if o.Run == l.Run {
@@ -50,7 +57,7 @@
 	return true
 }
 
-// NeverThere takes back that a run was lost: its order has come to another life, or has not left.
+// RetractLost removes the record of a lost run, because its order reached another life or was never sent.
 func (j *Job) NeverThere(t *Task, run int64) {
 	lost := len(t.Lost)
 	t.Lost = slices.DeleteFunc(t.Lost, func(l LostRun) bool { return l.Run == run })
@@ -61,10 +68,10 @@
 	j.Version++
 }
 
-// Clear takes note that a run has gone on for longer than any under which a life ended.
+// ClearSuspicion records that a run has lasted longer than any run of the task that was lost.
 func (j *Job) Clear(t *Task) { t.Suspect = false }
 
-// Refute forgets the lives that ended under a task that is surely not the cause.
+// ClearLost removes all lost runs of a task that is certainly not the cause.
 func (j *Job) Refute(t *Task) {
 	if len(t.Lost) > 0 {
 		t.Lost, t.Suspect = nil, false
@@ -72,22 +79,23 @@
 	}
 }
 
-// Hopeless says whether so many lives have ended under the task that it is not to be started again.
+// ExceedsLossLimit reports whether the task must not be started again because of its losses.
 func (t *Task) Hopeless() bool {
 	n := len(t.Lost)
 	if n == 0 {
 		return false
 	}
 	last := t.Lost[n-1]
-	tried := last.Tried || (t.Spec().Gang && last.Suspects > 0) // a gang starts together or not at all, so that none of it is tried apart
-	return n >= LostMost || (t.alike(last) && ((n >= LostTried && tried) || (n >= LostProved && last.Proved)))
+	tried := last.Tried || (t.Spec().Gang && last.Suspects > 0) // members of a gang start together, so none can run in an isolated trial
+	return n >= LostMost || (t.hasLossAtSameAge(last) && ((n >= LostTried && tried) || (n >= LostProved && last.Proved)))
 }
 
-// riskAfterTried is how likely a task is taken to end its next worker's life once LostTried have ended under it, whatever their ages: nobody knows, so an even chance.
-const riskAfterTried = 0.5
+// riskAfterLosses is the assumed probability that a task crashes its next worker after LossLimitIsolated losses,
+// whatever their ages. There is no evidence to estimate it from, so even odds are assumed.
+const riskAfterLosses = 0.5
 
-// Risk is how likely the task's next run ends its worker's life, as far as the evidence goes: shared among all that may have ended
-// the last one, and an even chance at the least once three have ended under it.
+// Risk estimates the probability that the next run of the task crashes its worker. Each loss is shared equally among
+// its suspects, and the largest share counts. After LossLimitIsolated losses it is at least riskAfterLosses.
 func (t *Task) Risk() float64 {
 	risk := 0.0
 	for _, l := range t.Lost {
@@ -96,45 +104,48 @@
 		}
 	}
 	if len(t.Lost) >= LostTried {
-		risk = max(risk, riskAfterTried)
+		risk = max(risk, riskAfterLosses)
 	}
 	return risk
 }
 
-// LongestLost is the greatest age of the runs that may have ended a life, or of all that were lost if none may have.
+// MaxLostAge returns the greatest age among the lost runs that may have ended a life, or among all lost runs if none
+// may have.
 func (t *Task) LongestLost() time.Duration {
-	longest, any := time.Duration(0), time.Duration(0)
+	maxSuspect, maxAny := time.Duration(0), time.Duration(0)
 	for _, l := range t.Lost {
-		any = max(any, l.Age)
+		maxAny = max(maxAny, l.Age)
 		if l.Suspects > 0 {
-			longest = max(longest, l.Age)
+			maxSuspect = max(maxSuspect, l.Age)
 		}
 	}
-	if longest == 0 {
-		return any
+	if maxSuspect == 0 {
+		return maxAny
 	}
-	return longest
+	return maxSuspect
 }
 
-// alikeAge is by how much the ages may differ at which a task ends lives: its own time is the same each time, and orders are some
-// milliseconds on their way. Lives that end for other reasons do so at any age of what runs there.
-const alikeAge = 100 * time.Millisecond
+// ageTolerance is the maximum difference between the ages of two losses with the same cause. A task that crashes its
+// worker does so at the same point of each run, and orders take some milliseconds to arrive. Lives that end for
+// other reasons end at any age of their runs.
+const ageTolerance = 100 * time.Millisecond
 
-// alike says whether an earlier life had ended under the task at the same age, when it was a suspect.
-func (t *Task) alike(last LostRun) bool {
+// hasLossAtSameAge reports whether the task was a suspect in an earlier loss at the same age as the last one.
+func (t *Task) hasLossAtSameAge(last LostRun) bool {
 	for _, l := range t.Lost[:len(t.Lost)-1] {
-		if l.Suspects > 0 && l.Age != AgeUnknown && last.Age != AgeUnknown && (l.Age-last.Age).Abs() <= alikeAge {
+		if l.Suspects > 0 && l.Age != AgeUnknown && last.Age != AgeUnknown && (l.Age-last.Age).Abs() <= ageTolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// Parked says that the task lasts and is not to be started again: its job goes on with the others.
+// GivenUp reports whether this is a lasting task that must not be started again, while its job continues with the
+// other tasks.
 func (t *Task) Parked() bool { return t.Spec().Lasting && t.Hopeless() }
 
-// GiveUp takes note that a task is not to be started again, and ends its job as failed. A job whose tasks last goes on with the others: to
-// end them would take away what serves users.
+// GiveUp records that a task must not be started again, which ends its job as failed. A job of lasting tasks
+// continues as long as one of them may be started: ending the others would take away tasks that serve users.
 func (j *Job) GiveUp(t *Task, now time.Time) {
 	if j.State.Ended() {
 		return
@@ -147,8 +158,8 @@
 	j.end(Failed, now)
 }
 
-// KeptLost is what must outlive every process of the runs that were lost with a worker's life. It is a record of its own beside Kept, so that
-// a version that does not know it reads the other as before.
+// StoredLost is the stored form of a lost run. It is not part of Stored, so that versions that do not know it can
+// still read Stored.
 type KeptLost struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
@@ -160,7 +171,7 @@
 	Tried, Proved bool
 }
 
-// ageMS returns the age in milliseconds, under zero when it is unknown.
+// ageMS returns the age in milliseconds, or -1 if it is unknown.
 func (l *LostRun) ageMS() int64 {
 	if l.Age == AgeUnknown {
 		return -1
@@ -168,7 +179,7 @@
 	return l.Age.Milliseconds()
 }
 
-// KeepLost returns what is to be kept of the runs that were lost; nothing for a job that has ended.
+// StoredLost returns the lost runs for storage. It returns none for a job that has ended.
 func (j *Job) KeepLost() []KeptLost {
 	if j.State.Ended() {
 		return nil
@@ -182,7 +193,8 @@
 	return kept
 }
 
-// RestoreLost brings back what KeepLost returned. A task that was cleared since its last loss is tried apart once more.
+// RestoreLost restores what StoredLost returned. A task whose suspicion was cleared after its last loss becomes a
+// suspect again.
 func (j *Job) RestoreLost(kept []KeptLost) {
 	for _, k := range kept {
 		if k.Ordinal >= 0 && k.Ordinal < len(j.Tasks) {
@@ -193,5 +205,5 @@
 			j.Lose(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Life: k.Life, Age: age, Suspects: k.Suspects, Tried: k.Tried, Proved: k.Proved})
 		}
 	}
-	j.Version = j.KeptVersion // all of it is kept
+	j.Version = j.KeptVersion // the restored state is already stored
 }
--- a/job/lost_test.go
+++ b/job/lost_test.go
@@ -69,7 +69,7 @@
 	c.Assert(job.Decode(value, &kept), quicktest.IsNil)
 	next := lostJob(false)
 	c.Assert(j.Lose(&j.Tasks[0], job.LostRun{Run: 8, Age: job.AgeUnknown}), quicktest.IsTrue)
-	next.RestoreLost(append(j.KeepLost(), job.KeptLost{Ordinal: 99})) // of another version's job: left out
+	next.RestoreLost(append(j.KeepLost(), job.KeptLost{Ordinal: 99})) // an entry of another version's job is ignored
 	c.Assert(next.Tasks[1].Lost, quicktest.DeepEquals, []job.LostRun{l})
 	c.Assert(next.Tasks[1].Suspect, quicktest.IsTrue)
 	c.Assert(next.Tasks[0].Suspect, quicktest.IsFalse)
@@ -91,5 +91,5 @@
 	c.Assert(j.Tasks[0].Parked(), quicktest.IsTrue)
 	c.Assert(j.State, quicktest.Equals, job.Queued)
 	give(&j.Tasks[1])
-	c.Assert(j.State, quicktest.Equals, job.Failed) // nothing of it is left
+	c.Assert(j.State, quicktest.Equals, job.Failed) // no task of it may be started any more
 }
--- a/job/owner.go
+++ b/job/owner.go
@@ -7,13 +7,14 @@
 // idLength is the length of a job's ID.
 const idLength = 16
 
-// Owned names a job as it is kept: its ID behind the name of the organisation that handed it in, or alone.
+// QualifiedID is the name under which a job is stored: its ID, prefixed with the name of the organisation that
+// submitted it, if any.
 //
-// IDs are chosen by clients. Two organisations that choose the same one write under keys of their own, so that neither can
-// overwrite or cancel what the other has handed in.
+// Clients choose the IDs. With the prefix, two organisations that choose the same ID use different keys and can't
+// overwrite or cancel each other's jobs.
 type Owned string
 
-// OwnedBy returns the name under which an organisation's job is kept; nobody's when the organisation is empty.
+// Qualify returns the qualified ID of a job. The organisation is empty for jobs of public queues.
 func OwnedBy(organisation, id string) Owned {
 	if organisation == "" {
 		return Owned(id)
@@ -21,10 +22,10 @@
 	return Owned(organisation + "/" + id)
 }
 
-// Owner returns the name under which the job is kept.
+// QualifiedID returns the qualified ID of the job.
 func (s *Spec) Owner() Owned { return OwnedBy(s.Organisation, s.ID) }
 
-// Parts returns the organisation and the ID; names of organisations may hold any sign.
+// Parts returns the organisation and the ID. Names of organisations may contain any character, including a slash.
 func (o Owned) Parts() (organisation, id string) {
 	if i := len(o) - idLength - 1; i > 0 && o[i] == '/' {
 		return string(o[:i]), string(o[i+1:])
@@ -32,50 +33,51 @@
 	return "", string(o)
 }
 
-// Keys of the intake: what a client handed in, and its wish to cancel.
+// Key prefixes in the intake store, for submitted jobs and for requests to cancel.
 const (
-	handedInKey = "j/"
-	cancelKey   = "c/"
+	submissionPrefix = "j/"
+	cancelPrefix     = "c/"
 )
 
-// HandedInKey returns the intake's key of the job.
-func (o Owned) HandedInKey() string { return handedInKey + string(o) }
+// SubmissionKey returns the intake key of the submitted job.
+func (o Owned) HandedInKey() string { return submissionPrefix + string(o) }
 
-// CancelKey returns the intake's key of the wish to cancel the job.
-func (o Owned) CancelKey() string { return cancelKey + string(o) }
+// CancelKey returns the intake key of the request to cancel the job.
+func (o Owned) CancelKey() string { return cancelPrefix + string(o) }
 
-// HandedIn returns the job that a key of the intake hands in, and false when it does not.
-func HandedIn(key string) (Owned, bool) { return cutKey(key, handedInKey) }
+// ParseSubmissionKey returns the job whose submission is stored under the key, and false for any other key.
+func HandedIn(key string) (Owned, bool) { return cutKey(key, submissionPrefix) }
 
-// CancelWished returns the job that a key of the intake wants cancelled, and false when it does not.
-func CancelWished(key string) (Owned, bool) { return cutKey(key, cancelKey) }
+// ParseCancelKey returns the job whose cancellation is requested under the key, and false for any other key.
+func CancelWished(key string) (Owned, bool) { return cutKey(key, cancelPrefix) }
 
 func cutKey(key, prefix string) (Owned, bool) {
 	rest, ok := strings.CutPrefix(key, prefix)
 	return Owned(rest), ok
 }
 
-// Question asks for a job, or for a queue when ID is empty.
+// Query asks for the state of a job, or of a queue if ID is empty.
 type Question struct {
 	ID, Queue string
-	// Organisation is who asks, empty for nobody that is known; Open says that the queue answers anybody.
+	// Organisation is the authenticated caller, or empty if there is none. Open reports that the queue is public.
 	Organisation string
 	Open         bool
 }
 
-// Sees says whether who asks may know of the job: its organisation may, and everybody of one that nobody in particular has handed in, or whose
-// queue answers anybody by now.
+// MaySee reports whether the caller may see the job. It may if it submitted the job, if the job belongs to no
+// organisation, or if the job's queue is now public.
 func (q Question) Sees(s *Spec) bool {
 	return s.Organisation == "" || s.Organisation == q.Organisation || (q.Open && q.Queue == s.Queue)
 }
 
-// Answer is what is known of a job or a queue.
+// Answer is the answer to a Query.
 type Answer struct {
-	// Known says that the job was accepted; otherwise Certain says that it was not.
+	// Known reports that the job was accepted. If it is false, Certain reports that the job was definitely not
+	// accepted.
 	Known, Certain bool
 	State          State
-	// Pending counts the queue's jobs of which nothing has begun.
+	// Pending is the number of jobs in the queue that have not begun.
 	Pending int
-	// Organisation is whose job it is, empty for nobody's in particular.
+	// Organisation is the owner of the job, or empty if it has none.
 	Organisation string
 }
--- a/job/spec.go
+++ b/job/spec.go
@@ -7,143 +7,146 @@
 	"time"
 )
 
-// Spec is a job as a client handed it in.
+// Spec is a job as submitted by a client.
 type Spec struct {
 	_ struct{} `cbor:",toarray"`
 	// ID is chosen by the client and unique.
 	ID string
-	// Queue names the queue that took the job, Pool the pool that the queue then used.
+	// Queue is the queue that accepted the job, and Pool the pool that the queue used at that time.
 	Queue, Pool string
-	// Text is passed on to the workers as it is.
+	// Text is passed to the workers unchanged.
 	Text  string
 	Steps []Step
-	// Times is how often the steps run; once, at once, when 0.
+	// Times is the number of repetitions of the steps. If it is 0, they run once, immediately.
 	Times int
-	// First is when the first time is due and Every the pause to the next; with Times only.
+	// First is when the first repetition is due and Every the interval between repetitions. Both only apply if
+	// Times is set.
 	First UnixMilli
 	Every Milli
-	// Taken is when the job was accepted, by the clock of the entry that took it.
+	// Taken is when the job was accepted, by the clock of the entry that accepted it.
 	Taken UnixMilli
-	// Organisation is the name of who handed it in, empty for a public queue's; it is kept in the job's key, not here.
+	// Organisation is the organisation that submitted the job, or empty for a public queue. It is not encoded,
+	// since the key under which the job is stored contains it.
 	Organisation string `cbor:"-"`
 }
 
-// UnixMilli is a time of day in milliseconds since 1970.
+// UnixMilli is a wall-clock time in milliseconds since 1970.
 type UnixMilli int64
 
-// Time returns the time of day.
+// Time returns the time as a time.Time.
 func (u UnixMilli) Time() time.Time { return time.UnixMilli(int64(u)) }
 
-// Milli is a duration in milliseconds, as it is kept.
+// Milli is a duration in milliseconds, as it is stored.
 type Milli int64
 
-// Duration returns the duration.
+// Duration returns the duration as a time.Duration.
 func (m Milli) Duration() time.Duration { return time.Duration(m) * time.Millisecond }
 
-// Need is what one task takes from its worker.
+// Need is the resources that one task takes from its worker.
 type Need struct {
 	_ struct{} `cbor:",toarray"`
 	// MilliCPU is in thousandths of a core.
 	MilliCPU, MemoryMB, GPU int
 }
 
-// Minus returns what is left of a need without another.
+// Minus returns n-o for each resource.
 func (n Need) Minus(o Need) Need {
 	return Need{MilliCPU: n.MilliCPU - o.MilliCPU, MemoryMB: n.MemoryMB - o.MemoryMB, GPU: n.GPU - o.GPU}
 }
 
-// Plus returns two needs together.
+// Plus returns n+o for each resource.
 func (n Need) Plus(o Need) Need {
 	return Need{MilliCPU: n.MilliCPU + o.MilliCPU, MemoryMB: n.MemoryMB + o.MemoryMB, GPU: n.GPU + o.GPU}
 }
 
-// Most returns the larger of each figure of two needs.
+// Max returns the larger amount of each resource.
 func (n Need) Most(o Need) Need {
 	return Need{MilliCPU: max(n.MilliCPU, o.MilliCPU), MemoryMB: max(n.MemoryMB, o.MemoryMB), GPU: max(n.GPU, o.GPU)}
 }
 
-// Least returns the smaller of each figure of two needs.
+// Min returns the smaller amount of each resource.
 func (n Need) Least(o Need) Need {
 	return Need{MilliCPU: min(n.MilliCPU, o.MilliCPU), MemoryMB: min(n.MemoryMB, o.MemoryMB), GPU: min(n.GPU, o.GPU)}
 }
 
-// Times returns what that many of the need are.
+// Times returns n multiplied by count.
 func (n Need) Times(count int) Need {
 	return Need{MilliCPU: n.MilliCPU * count, MemoryMB: n.MemoryMB * count, GPU: n.GPU * count}
 }
 
-// Lacks says that there is less than nothing of something.
+// AnyNegative reports whether the amount of any resource is negative.
 func (n Need) Lacks() bool { return n.MilliCPU < 0 || n.MemoryMB < 0 || n.GPU < 0 }
 
-// Step is a group of like tasks.
+// Step is a group of tasks with the same requirements.
 type Step struct {
 	_     struct{} `cbor:",toarray"`
 	Count int
 	Need  Need
-	// Estimate is the client's rough guess of a task's run time.
+	// Estimate is the client's rough estimate of the run time of one task.
 	Estimate Milli
-	// After are the numbers of earlier steps that must be done first.
+	// After are the numbers of the earlier steps that must be done before this one.
 	After []int
-	// Saves says that tasks save their progress and can continue from it.
+	// Saves reports that the tasks save their progress and can resume from it.
 	Saves bool
-	// Gang tasks run all together or not at all; SameRack ones are slow when spread.
+	// Gang tasks run all at once or not at all. SameRack gangs are slow when spread over several racks.
 	Gang, SameRack bool
-	// Label must be among the worker's labels, when set.
+	// Label, if set, must be among the labels of the worker.
 	Label string
-	// Rack is where the data lies, when set; elsewhere a task is slow.
+	// Rack, if set, is the rack with the input data. Tasks are slow elsewhere.
 	Rack string
-	// PerWorker is the most tasks of the step (of one time) on one worker; any number when 0.
+	// PerWorker is the maximum number of tasks of the step, for one repetition, on one worker; 0 means no limit.
 	PerWorker int
-	// Copies says that copies of a task may run beside each other.
+	// Copies reports that several copies of one task may run at the same time.
 	Copies bool
 	// Lasting tasks run until the job is cancelled.
 	Lasting bool
-	// Image names the program; tasks of one image behave alike.
+	// Image is the name of the program. Tasks of one image behave alike.
 	Image string
-	// TailTarget is the time under which the tail of a lasting task's own answers is to stay; none when 0.
+	// TailTarget is the upper target for the tail latency of a lasting task; 0 means none.
 	TailTarget Milli
-	// Fills says that the task's processor share is not counted against the worker's room.
+	// Fills reports that the tasks run in the spare CPU time of their worker: their CPU need is not counted against
+	// its capacity.
 	Fills bool
-	// MayMiss is how many tasks of a lasting step may be away at once through planned work.
+	// MayMiss is the number of tasks of a lasting step that planned work may take down at the same time.
 	MayMiss int
 }
 
-// Limits of a Spec; a client's job beyond them is refused.
+// Limits of a Spec. Jobs beyond them are refused.
 const (
-	// MaxText is the longest Text in bytes, as the users' interface states it.
+	// MaxText is the maximum length of Text in bytes, as stated in the users' interface.
 	MaxText = 4000
-	// MaxSteps and MaxTasks bound the memory that one job can take.
+	// MaxSteps and MaxTasks limit the memory that one job can use.
 	MaxSteps = 64
 	MaxTasks = 5000
-	// maxNeed bounds each figure of a Need; no worker comes near it.
+	// maxNeed is the maximum amount of each resource in a Need. No worker has nearly as much.
 	maxNeed = 1 << 30
-	// maxSpan bounds times and durations: ten years.
+	// maxSpan is the maximum of times and durations: ten years.
 	maxSpan = 10 * 365 * 24 * time.Hour / time.Millisecond
 )
 
-// SpecError says what is wrong with a Spec.
+// SpecError is the reason why a Spec is invalid.
 type SpecError struct{ Problem string }
 
 // Error returns the problem.
 func (e *SpecError) Error() string { return "job refused: " + e.Problem }
 
-func refuse(format string, args ...any) error {
+func specErrorf(format string, args ...any) error {
 	return &SpecError{Problem: fmt.Sprintf(format, args...)}
 }
 
-// Check returns a SpecError for a job that can't be kept or run.
+// Check returns a SpecError if the job can't be stored or run.
 func (s *Spec) Check() error {
 	if !ValidID(s.ID) {
-		return refuse("its ID must be 16 hex digits")
+		return specErrorf("its ID must be 16 hex digits")
 	}
 	if len(s.Text) > MaxText {
-		return refuse("its text has %d bytes; at most %d are taken", len(s.Text), MaxText)
+		return specErrorf("its text has %d bytes; the limit is %d", len(s.Text), MaxText)
 	}
 	if n := len(s.Steps); n == 0 || n > MaxSteps {
-		return refuse("it has %d steps; give 1 to %d", n, MaxSteps)
+		return specErrorf("it has %d steps; 1 to %d are allowed", n, MaxSteps)
 	}
 	if s.Times < 0 || s.Every < 0 || s.First < 0 || int64(s.Every) > int64(maxSpan) {
-		return refuse("its times must be positive and under ten years apart")
+		return specErrorf("its times must not be negative or more than ten years apart")
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -153,31 +156,31 @@
 		tasks += s.Steps[i].Count
 	}
 	if total := tasks * max(s.Times, 1); s.Times > MaxTasks || total > MaxTasks {
-		return refuse("it has over %d tasks; split it", MaxTasks)
+		return specErrorf("it has more than %d tasks; split it into several jobs", MaxTasks)
 	}
 	return nil
 }
 
 func (s *Step) check(number int) error {
 	if s.Count < 1 || s.Count > MaxTasks {
-		return refuse("step %d has %d tasks; give 1 to %d", number, s.Count, MaxTasks)
+		return specErrorf("step %d has %d tasks; 1 to %d are allowed", number, s.Count, MaxTasks)
 	}
 	n := s.Need
 	if min(n.MilliCPU, n.MemoryMB, n.GPU) < 0 || max(n.MilliCPU, n.MemoryMB, n.GPU) > maxNeed {
-		return refuse("step %d asks for a negative or absurd size", number)
+		return specErrorf("step %d asks for a negative or excessive amount of a resource", number)
 	}
 	if s.Estimate < 0 || int64(s.Estimate) > int64(maxSpan) || s.TailTarget < 0 || s.MayMiss < 0 || s.PerWorker < 0 {
-		return refuse("step %d has a negative or absurd time or limit", number)
+		return specErrorf("step %d has a negative or excessive time or limit", number)
 	}
 	for _, a := range s.After {
 		if a < 0 || a >= number {
-			return refuse("step %d depends on step %d, which is not an earlier one", number, a)
+			return specErrorf("step %d depends on step %d, which is not an earlier one", number, a)
 		}
 	}
 	return nil
 }
 
-// ValidID says whether a client may choose the ID.
+// ValidID reports whether an ID has the required form.
 func ValidID(id string) bool { return len(id) == idLength && isHex(id) }
 
 func isHex(s string) bool {
--- a/job/kept.go
+++ b/job/stored.go
@@ -11,22 +11,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kept is what of a job must outlive every process, besides its Spec.
+// Stored is the state of a Job that must survive the loss of every process. The Spec is stored separately.
 type Kept struct {
 	_     struct{} `cbor:",toarray"`
 	State State
-	// Done has a bit for each finished task, by ordinal.
+	// Done has one bit for each task, by ordinal, that is set if the task is finished.
 	Done []byte
 	// Failed are the failed runs.
 	Failed []FailedRun
-	// Ended is when the job ended, 0 before.
+	// Ended is when the job ended, or 0 if it has not.
 	Ended UnixMilli
 	Began bool
-	// Runs are the runs that were ordered, or are about to be.
+	// Runs are the runs that were ordered or are about to be.
 	Runs []OrderedRun
 }
 
-// OrderedRun names a run and the life of the worker that it was ordered from.
+// OrderedRun identifies a run and the life of the worker that it was assigned to.
 type OrderedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
@@ -34,14 +34,14 @@
 	Life    string
 }
 
-// FailedRun names a run that failed.
+// FailedRun identifies a run that failed.
 type FailedRun struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
 	Run     int64
 }
 
-// Keep returns what is to be kept of the job.
+// Stored returns the state of the job for storage.
 func (j *Job) Keep() Kept {
 	k := Kept{State: j.State, Done: make([]byte, (len(j.Tasks)+7)/8), Began: j.Began}
 	for i := range j.Tasks {
@@ -58,13 +58,13 @@
 	}
 	if j.State.Ended() {
 		k.Ended = UnixMilli(j.Ended.UnixMilli())
-		k.Done = nil // nobody asks for single tasks of an ended job
+		k.Done = nil // the tasks of a job that has ended are never queried
 		k.Failed = nil
 	}
 	return k
 }
 
-// Restore brings a new job to where what was kept left it.
+// Restore sets the state of a new job from its stored state.
 func (j *Job) Restore(k Kept, now time.Time) {
 	j.Began = k.Began
 	for _, f := range k.Failed {
@@ -85,7 +85,7 @@
 	j.Version, j.KeptVersion = 1, 1
 }
 
-// Encode returns the bytes of a Spec or a Kept.
+// Encode encodes a Spec or one of the stored types.
 func Encode(v any) ([]byte, error) {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -94,21 +94,21 @@
 	return b, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes what Encode returned.
 func Decode(b []byte, into any) error {
 	if err := cbor.Unmarshal(b, into); err != nil {
-		return fmt.Errorf("decode job: %w; it was written by another version", err)
+		return fmt.Errorf("decode job: %w; it may have been written by another version", err)
 	}
 	return nil
 }
 
-// Name is a task's name in parts.
+// Name is the parsed name of a task.
 type Name struct {
 	ID                string
 	Time, Step, Index int
 }
 
-// ParseName reads ID.TIME.STEP.INDEX.
+// ParseName parses a task name of the form ID.TIME.STEP.INDEX.
 func ParseName(s string) (Name, bool) {
 	p := strings.Split(s, ".")
 	if len(p) != 4 {
