--- a/upkeep/turns_test.go
+++ b/upkeep/bursts_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// round plays load that goes round the pools, and returns what was expected shortly before each turn.
+// round simulates bursts that pass from pool to pool, and returns what was expected shortly before each burst.
 func round(t *Turns, now time.Time, pools []string, turns int, each time.Duration) (expected []string) {
 	const tick = 100 * time.Millisecond
 	for i := range turns {
@@ -21,7 +21,7 @@
 					load = 12
 				}
 				if k == (i+len(pools)-1)%len(pools) && i > 0 && at < time.Second {
-					load = 4 // the end of the turn before
+					load = 4 // the end of the previous burst
 				}
 				t.See(p, Load{Need: load, Used: load, Have: 20}, now)
 			}
@@ -40,7 +40,7 @@
 
 func TestTurnsAreExpectedInTheirOrder(t *testing.T) {
 	got := round(new(Turns), start, []string{"a", "b", "c"}, 8, 4*time.Second)
-	// After the first turn nothing is known of gaps; after the second only c is left; then the order repeats.
+	// After the first burst no interval is known; after the second only c has had none; then the order repeats.
 	quicktest.Assert(t, got, quicktest.DeepEquals, []string{"", "c:12", "a:12", "b:12", "c:12", "a:12", "b:12", "c:12"})
 }
 
@@ -59,7 +59,7 @@
 	c := quicktest.New(t)
 	turns := new(Turns)
 	round(turns, start, []string{"a", "b", "c"}, 6, 4*time.Second)
-	got := round(turns, start.Add(24*time.Second), []string{"a", "b"}, 6, 4*time.Second) // c has no load any more
+	got := round(turns, start.Add(24*time.Second), []string{"a", "b"}, 6, 4*time.Second) // c has no more load
 	c.Assert(got[2:], quicktest.DeepEquals, []string{"b:12", "a:12", "b:12", "a:12"})
 }
 
@@ -69,8 +69,9 @@
 	quicktest.Assert(t, turns.Next(2*time.Second, start.Add(time.Minute)), quicktest.HasLen, 0)
 }
 
-// TestWhatIsAlwaysThereIsNoTurn: a pool of a thousand instances has some at work at any time. Taken for its first turn that taught that turns need
-// hardly anything: a fleet parked a pool in the first second of its real one.
+// A pool of a thousand instances always has some at work. This base load was once taken for the pool's first burst,
+// so that bursts seemed to need hardly anything and the pool was moved to the headroom in the first second of its
+// real burst.
 func TestWhatIsAlwaysThereIsNoTurn(t *testing.T) {
 	c := quicktest.New(t)
 	turns := new(Turns)
@@ -86,7 +87,7 @@
 		now = now.Add(100 * time.Millisecond)
 	}
 	c.Assert(turns.Last, quicktest.Equals, "a")
-	c.Assert(turns.Fresh("a"), quicktest.IsTrue, quicktest.Commentf("what its turn needs is known once that is over"))
+	c.Assert(turns.Fresh("a"), quicktest.IsTrue, quicktest.Commentf("the demand of a burst is known once it is over"))
 	for range 40 {
 		turns.See("a", Load{Need: 12, Used: 12, Have: 1000}, now)
 		now = now.Add(100 * time.Millisecond)
@@ -96,7 +97,8 @@
 	c.Assert(known && need > 200 && used == 200, quicktest.IsTrue, quicktest.Commentf("%.0f %.0f", need, used))
 }
 
-// TestATurnThatHasGoneOnForLongTellsOfOthers has the first turn of all go on: what it has at work after a while is what others are taken to need.
+// Checks that the usage of the very first burst becomes the estimate for other pools once it has lasted for
+// settledAfter.
 func TestATurnThatHasGoneOnForLongTellsOfOthers(t *testing.T) {
 	c := quicktest.New(t)
 	turns := new(Turns)
@@ -115,5 +117,5 @@
 	_, used, known = turns.Whole("b", now)
 	c.Assert(used == 200 && !known, quicktest.IsTrue, quicktest.Commentf("%.0f", used))
 	_, used, _ = turns.Whole("a", now)
-	c.Assert(used, quicktest.Equals, 0.0, quicktest.Commentf("it does not tell of itself"))
+	c.Assert(used, quicktest.Equals, 0.0, quicktest.Commentf("an ongoing burst is no estimate for its own pool"))
 }
--- a/upkeep/doc.go
+++ b/upkeep/doc.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package upkeep decides about instances as a whole: which of them move between
-pools, and which lasting tasks planned work may take away. It is pure: tables
-in, orders out.
+Package upkeep decides about whole instances: which of them move between
+pools, and which are taken out of service next during a wave of upkeep. It
+also learns when pools have bursts of load, and sets the pace of filling
+tasks. The package is pure: it has no I/O and no clock of its own.
 
 	moves := upkeep.Moves(pools, instances)
 
 A pool wants as many instances as its tasks need. Instances that no pool wants
-belong into a headroom pool, whose instances are off and cost nothing, and
-come back from there within the time of one move.
+move to a headroom pool, whose instances are switched off and cost nothing.
+They can be moved back within the time of one move.
 */
 package upkeep
--- a/upkeep/moves.go
+++ b/upkeep/moves.go
@@ -9,42 +9,45 @@
 	"slices"
 )
 
-// Pool is what is known of a pool's size.
+// Pool describes the size of a pool and its demand, in instances.
 type Pool struct {
 	Name string
-	// Headroom pools are off; what nobody wants belongs there.
+	// Headroom pools hold instances that are switched off. Instances that no other pool needs belong there.
 	Headroom bool
-	// Want is how many instances its tasks need now, Keep how many it is not to fall under.
+	// Want is the number of instances that its tasks need now. Min is the number that it must not fall below.
 	Want, Keep float64
-	// Idle is how many it has needed over a longer time: what it has beyond that is parked. Soon is how many it will want
-	// before long.
+	// LongTermNeed is the number that it needed over a longer time; instances beyond it are moved to the headroom.
+	// SoonNeed is the number that it is expected to need soon.
 	Idle, Soon float64
-	// Lacks are, by label, how many instances with that label its tasks wait for, under AnyLabel how many of any.
+	// Missing is, by label, the number of instances with that label that its tasks wait for. The key AnyLabel
+	// stands for instances with any labels.
 	Lacks map[string]int
-	// Have counts those that serve it or are on their way to it.
+	// Have is the number of instances that serve the pool or are moving to it.
 	Have int
 }
 
-// Instance is one that can move.
+// Instance is an instance that may be moved.
 type Instance struct {
 	Name, Pool string
 	Labels     []string
-	// Runs counts its runs, Lasting those that last: they hold it where it is.
+	// Runs is the number of its runs. Lasting is the number of those that belong to lasting tasks, which keep the
+	// instance in its pool.
 	Runs, Lasting int
-	// Fixed says that it is on its way somewhere, or down.
+	// Fixed reports that the instance is already moving, or down.
 	Fixed bool
-	// Drained says that its data centre is drained: it serves no pool, and counts in none.
+	// Drained reports that its data centre is drained, so that it serves no pool and is not counted in Pool.Have.
 	Drained bool
 }
 
-// Move takes an instance to another pool.
+// Move moves an instance to another pool.
 type Move struct{ Instance, From, To string }
 
-// Moves returns the moves that bring the pools nearest to what they want: first into pools that lack instances, from
-// the headroom and from pools with more than they keep; then what is left over into the headroom. Of instances that are
-// equally good it takes the first one given. Its time goes with the number of instances, not with its square.
+// Moves returns the moves that bring the pools closest to their needs. First it supplies pools that lack instances,
+// from the headroom and from pools that have more than their minimum; then it moves surplus instances to the
+// headroom. Among equally suitable instances it takes the first one. Its run time is linear in the number of
+// instances.
 func Moves(pools []Pool, instances []Instance) []Move {
-	m := mover{pools: make(map[string]*Pool, len(pools)), free: make(map[string]*queue, len(pools)), all: instances}
+	m := planner{pools: make(map[string]*Pool, len(pools)), sources: make(map[string]*queue, len(pools)), all: instances}
 	for i := range pools {
 		p := pools[i]
 		p.Lacks = maps.Clone(p.Lacks)
@@ -55,46 +58,47 @@
 		}
 	}
 	slices.Sort(m.names)
-	m.line()
+	m.buildQueues()
 	for p := m.neediest(); p != nil; p = m.neediest() {
 		if !m.supply(p) {
 			break
 		}
 	}
 	for _, n := range m.names {
-		for m.supplyLacking(m.pools[n]) {
+		for m.supplyMissing(m.pools[n]) {
 		}
 	}
-	m.prepare()
-	m.park()
+	m.supplySoon()
+	m.parkIdle()
 	return m.moves
 }
 
-type mover struct {
+type planner struct {
 	pools    map[string]*Pool
 	names    []string
 	headroom string
 	all      []Instance
-	// free are the instances of each pool that may move, idle the ones in drained data centres that only may rest.
-	free  map[string]*queue
-	idle  []*row
-	moves []Move
+	// sources holds the instances of each pool that may move, drained the idle ones in drained data centres, which
+	// may only move to the headroom.
+	sources map[string]*queue
+	drained []*row
+	moves   []Move
 }
 
-// queue is a pool's instances that may move, those first that cost least to take. The places tell which of two queues' first ones costs less.
+// queue holds the instances of a pool that may move, cheapest first.
 type queue struct {
 	rows []*row
-	// labels are the same by label, made when a label is asked for.
+	// labels holds the same instances by label. It is built on first use.
 	labels map[string][]*row
 }
 
-// row is an instance that may move; taken says that it does.
+// row is an instance that may move. It is marked as taken once it is moved.
 type row struct {
 	*Instance
 	taken bool
 }
 
-// first returns the first row that is not taken, or nil, and the rows from there on.
+// first returns the first row that is not taken, or nil, and the remaining rows starting with it.
 func first(rows []*row) (*row, []*row) {
 	for len(rows) > 0 && rows[0].taken {
 		rows = rows[1:]
@@ -105,14 +109,14 @@
 	return rows[0], rows
 }
 
-// next returns the pool's next instance, or nil.
+// next returns the cheapest remaining instance, or nil.
 func (q *queue) next() *row {
 	x, rest := first(q.rows)
 	q.rows = rest
 	return x
 }
 
-// nextWith returns the pool's next instance with a label, or nil.
+// nextWith returns the cheapest remaining instance that has the label, or nil.
 func (q *queue) nextWith(label string) *row {
 	if q.labels == nil {
 		q.labels = make(map[string][]*row)
@@ -127,10 +131,10 @@
 	return x
 }
 
-// line puts the instances that may move into their pools' queues.
-func (m *mover) line() {
+// buildQueues sorts the instances that may move into the queues of their pools.
+func (m *planner) buildQueues() {
 	for n := range m.pools {
-		m.free[n] = new(queue)
+		m.sources[n] = new(queue)
 	}
 	rows := make([]row, len(m.all))
 	busy := make(map[string][]*row)
@@ -142,30 +146,32 @@
 		case p == nil || x.Fixed || x.Lasting > 0:
 		case x.Drained:
 			if !p.Headroom && x.Runs == 0 {
-				m.idle = append(m.idle, x)
+				m.drained = append(m.drained, x)
 			}
 		case p.Headroom || x.Runs == 0:
-			m.free[x.Pool].rows = append(m.free[x.Pool].rows, x)
+			m.sources[x.Pool].rows = append(m.sources[x.Pool].rows, x)
 		default:
 			busy[x.Pool] = append(busy[x.Pool], x)
 		}
 	}
 	for n, rows := range busy {
 		slices.SortStableFunc(rows, func(a, b *row) int { return cmp.Compare(a.Runs, b.Runs) })
-		m.free[n].rows = append(m.free[n].rows, rows...)
+		m.sources[n].rows = append(m.sources[n].rows, rows...)
 	}
 }
 
-// cost is what it costs to take an instance, by what runs there; one that is off costs nothing.
-func (m *mover) cost(x *row) int {
+// cost returns the cost of moving an instance: its number of runs, or less than that of any running instance if it
+// is switched off.
+func (m *planner) cost(x *row) int {
 	if m.pools[x.Pool].Headroom {
 		return -1
 	}
 	return x.Runs
 }
 
-// cheaper returns the one that costs less, the first one of equals; either may be nil.
-func (m *mover) cheaper(a, b *row) *row {
+// cheaper returns the instance with the lower cost, or the one with the smaller name if the costs are equal. Either
+// may be nil.
+func (m *planner) cheaper(a, b *row) *row {
 	switch {
 	case a == nil:
 		return b
@@ -178,19 +184,21 @@
 	return b
 }
 
-// cheapest returns the cheapest instance that pools which may give one to the pool offer, or nil.
-func (m *mover) cheapest(to *Pool, gives func(from *Pool) bool, offer func(q *queue) *row) *row {
+// cheapest returns the cheapest instance that the headroom and other pools that satisfy gives offer to the pool, or
+// nil.
+func (m *planner) cheapest(to *Pool, gives func(from *Pool) bool, offer func(q *queue) *row) *row {
 	var best *row
 	for _, n := range m.names {
 		if from := m.pools[n]; from != to && (from.Headroom || gives(from)) {
-			best = m.cheaper(best, offer(m.free[n]))
+			best = m.cheaper(best, offer(m.sources[n]))
 		}
 	}
 	return best
 }
 
-// neediest returns the pool that lacks the largest part of what it wants, or nil when none lacks any.
-func (m *mover) neediest() *Pool {
+// neediest returns the pool that lacks the largest fraction of the instances that it wants, or nil if none lacks
+// any.
+func (m *planner) neediest() *Pool {
 	var worst *Pool
 	var part float64
 	for _, n := range m.names {
@@ -205,26 +213,27 @@
 	return worst
 }
 
-// supply moves the cheapest instance to the pool, of a kind that it lacks if there is one; it says whether there was any.
-func (m *mover) supply(to *Pool) bool {
-	if m.supplyLacking(to) {
+// supply moves the cheapest instance to the pool, preferring one with a missing label. It reports whether there was
+// one.
+func (m *planner) supply(to *Pool) bool {
+	if m.supplyMissing(to) {
 		return true
 	}
-	x := m.cheapest(to, spares, (*queue).next)
+	x := m.cheapest(to, hasSpare, (*queue).next)
 	if x != nil {
 		m.move(x, to)
 	}
 	return x != nil
 }
 
-// supplyLacking moves an instance of a kind that the pool lacks; it says whether there was one.
-func (m *mover) supplyLacking(to *Pool) bool {
+// supplyMissing moves an instance with a missing label to the pool. It reports whether there was one.
+func (m *planner) supplyMissing(to *Pool) bool {
 	var best *row
 	for label, n := range to.Lacks {
 		if n <= 0 {
 			continue
 		}
-		best = m.cheaper(best, m.cheapest(to, spares, func(q *queue) *row {
+		best = m.cheaper(best, m.cheapest(to, hasSpare, func(q *queue) *row {
 			if label == AnyLabel {
 				return q.next()
 			}
@@ -237,18 +246,19 @@
 	return best != nil
 }
 
-// AnyLabel stands for instances with whatever label in Pool.Lacks.
+// AnyLabel is the key in Pool.Missing for instances with any labels.
 const AnyLabel = ""
 
-// spares says whether a pool has an instance more than it keeps.
-func spares(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(p.Keep) }
+// hasSpare reports whether a pool can give up an instance without falling below its minimum.
+func hasSpare(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(p.Keep) }
 
-// idles says whether a pool has had an instance more than it needed for long, and will have.
-func idles(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(max(p.Keep, p.Idle, p.Soon)) }
+// hasIdle reports whether a pool has had an instance more than it needed for a longer time, and is not expected to
+// need it soon.
+func hasIdle(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(max(p.Keep, p.Idle, p.Soon)) }
 
-// prepare moves idle instances to the pools that will want them soon.
-func (m *mover) prepare() {
-	gives := func(from *Pool) bool { return spares(from) && float64(from.Have-1) >= from.Soon }
+// supplySoon moves idle instances to the pools that are expected to need them soon.
+func (m *planner) supplySoon() {
+	gives := func(from *Pool) bool { return hasSpare(from) && float64(from.Have-1) >= from.Soon }
 	for _, n := range m.names {
 		for p := m.pools[n]; float64(p.Have) < math.Ceil(p.Soon); {
 			x := m.cheapest(p, gives, (*queue).next)
@@ -260,7 +270,7 @@
 	}
 }
 
-func (m *mover) move(x *row, to *Pool) {
+func (m *planner) move(x *row, to *Pool) {
 	m.moves = append(m.moves, Move{Instance: x.Name, From: x.Pool, To: to.Name})
 	m.pools[x.Pool].Have--
 	to.Have++
@@ -273,37 +283,37 @@
 	x.taken = true
 }
 
-// park moves idle instances that no pool keeps into the headroom, and those that may serve none.
-func (m *mover) park() {
+// parkIdle moves idle surplus instances to the headroom, and those of drained data centres.
+func (m *planner) parkIdle() {
 	if m.headroom == "" {
 		return
 	}
 	for _, n := range m.names {
 		from := m.pools[n]
-		for x := m.free[n].next(); x != nil && !from.Headroom && x.Runs == 0 && idles(from); x = m.free[n].next() {
+		for x := m.sources[n].next(); x != nil && !from.Headroom && x.Runs == 0 && hasIdle(from); x = m.sources[n].next() {
 			m.move(x, m.pools[m.headroom])
 		}
 	}
-	for _, x := range m.idle {
+	for _, x := range m.drained {
 		m.moves = append(m.moves, Move{Instance: x.Name, From: x.Pool, To: m.headroom})
 	}
 }
 
-// Surplus returns how many instances each pool could spare: what it has beyond its wants, and of a headroom what the
-// other pools do not lack.
+// Surplus returns the number of instances that each pool can spare: what it has beyond its wants, and for a headroom
+// pool what it has beyond the other pools' shortage.
 func Surplus(pools []Pool) map[string]int {
 	surplus := make(map[string]int, len(pools))
-	lack := 0
+	shortage := 0
 	for i := range pools {
 		if p := &pools[i]; !p.Headroom {
 			over := p.Have - int(math.Ceil(p.Want))
 			surplus[p.Name] = max(over, 0)
-			lack += max(-over, 0)
+			shortage += max(-over, 0)
 		}
 	}
 	for i := range pools {
 		if p := &pools[i]; p.Headroom {
-			surplus[p.Name] = max(p.Have-lack, 0)
+			surplus[p.Name] = max(p.Have-shortage, 0)
 		}
 	}
 	return surplus
--- a/upkeep/moves_test.go
+++ b/upkeep/moves_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// plainMoves decides the same by looking at all instances for each move; it is the oracle.
+// plainMoves is the reference implementation of Moves. It looks at all instances for each move.
 func plainMoves(pools []Pool, instances []Instance) []Move {
-	m := mover{pools: make(map[string]*Pool)}
+	m := planner{pools: make(map[string]*Pool)}
 	for i := range pools {
 		p := pools[i]
 		m.pools[p.Name] = &p
@@ -40,7 +40,7 @@
 		free = slices.Delete(free, i, i+1)
 	}
 	for p := m.neediest(); p != nil; p = m.neediest() {
-		i := slices.IndexFunc(free, func(x Instance) bool { f := m.pools[x.Pool]; return f != p && (f.Headroom || spares(f)) })
+		i := slices.IndexFunc(free, func(x Instance) bool { f := m.pools[x.Pool]; return f != p && (f.Headroom || hasSpare(f)) })
 		if i < 0 {
 			break
 		}
@@ -52,7 +52,7 @@
 		for i >= 0 && float64(p.Have) < math.Ceil(p.Soon) {
 			if i = slices.IndexFunc(free, func(x Instance) bool {
 				f := m.pools[x.Pool]
-				return x.Runs == 0 && f != p && (f.Headroom || (spares(f) && float64(f.Have-1) >= f.Soon))
+				return x.Runs == 0 && f != p && (f.Headroom || (hasSpare(f) && float64(f.Have-1) >= f.Soon))
 			}); i >= 0 {
 				move(i, p)
 			}
@@ -62,7 +62,7 @@
 		}
 	}
 	for i := 0; m.headroom != "" && i < len(free); {
-		if f := m.pools[free[i].Pool]; f.Headroom || free[i].Runs > 0 || !idles(f) {
+		if f := m.pools[free[i].Pool]; f.Headroom || free[i].Runs > 0 || !hasIdle(f) {
 			i++
 			continue
 		}
@@ -71,7 +71,7 @@
 	return moves
 }
 
-// drawFleet draws pools and instances in the order of their names.
+// drawFleet draws random pools and instances, sorted by name.
 func drawFleet(r *rapid.T) ([]Pool, []Instance) {
 	figure := rapid.Float64Range(0, 12)
 	pools := []Pool{{Name: "off", Headroom: true}}
@@ -101,7 +101,7 @@
 		got = slices.DeleteFunc(got, func(m Move) bool {
 			return slices.ContainsFunc(instances, func(x Instance) bool { return x.Name == m.Instance && x.Drained })
 		})
-		// In which order pools give to the headroom says nothing.
+		// The order of the moves to the headroom does not matter.
 		parked := func(a, b Move) int {
 			if a.To == "off" && b.To == "off" {
 				return cmp.Compare(a.Instance, b.Instance)
@@ -116,7 +116,8 @@
 	})
 }
 
-// TestInstancesOfADrainedDataCentreServeNoPool has them rest, where nothing runs there, and serve nobody.
+// Checks that idle instances of a drained data centre move to the headroom and that none of them is moved to another
+// pool.
 func TestInstancesOfADrainedDataCentreServeNoPool(t *testing.T) {
 	c := quicktest.New(t)
 	pools := []Pool{{Name: "a", Want: 2, Keep: 2, Idle: 9, Have: 0}, {Name: "off", Headroom: true, Have: 1}}
@@ -127,7 +128,7 @@
 	c.Assert(fmt.Sprint(Moves(pools, instances)), quicktest.Equals, "[{o2 off a} {a1 a off}]")
 }
 
-// idleFleet is a fleet all of whose instances are idle in four pools that need few of them, so that most go to the headroom.
+// idleFleet returns four pools with only idle instances. They need few of them, so that most move to the headroom.
 func idleFleet(n int) ([]Pool, []Instance) {
 	pools := []Pool{{Name: "off", Headroom: true}}
 	for i := range 4 {
@@ -142,8 +143,8 @@
 	return pools, instances
 }
 
-// BenchmarkMoves has the plan of moves of an idle fleet; its time is to go with the instances. Cutting each moved row out of a list of all took
-// 0.74, 19.4 and 55.8 ms.
+// BenchmarkMoves plans the moves of an idle fleet. The time must grow linearly with the number of instances. An
+// implementation that cut each moved row out of one list took 0.74, 19.4 and 55.8 ms for these sizes.
 func BenchmarkMoves(b *testing.B) {
 	for _, n := range []int{1100, 6000, 12000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/upkeep/pace.go
+++ b/upkeep/pace.go
@@ -2,38 +2,39 @@
 
 package upkeep
 
-// Figures of the pace of filling tasks, in percent of full work and as parts of the target of what serves beside them.
+// Parameters of the pace of filling tasks. Paces are percentages of full work; thresholds are fractions of the tail
+// latency target of the serving tasks on the same worker.
 const (
-	// PaceUnknown stands for a pace that may not be in force.
+	// PaceUnknown stands for a pace that may not have taken effect.
 	PaceUnknown = -1
-	paceFull    = 100
-	// paceDownAt is the part of its target above which a serving task's tail slows what fills beside it; paceUpAt is the
-	// part under which that may go faster again. Between them nothing changes.
-	paceDownAt = 0.85
-	paceUpAt   = 0.65
-	// paceUpBy is added at each look; down goes by halves, and to nothing under paceLeast.
-	paceUpBy  = 10
-	paceLeast = 10
+	fullPace    = 100
+	// Above slowDownAbove the filling task is slowed down, below speedUpBelow it is sped up. In between, the pace
+	// stays the same.
+	slowDownAbove = 0.85
+	speedUpBelow  = 0.65
+	// paceStep is added at each speed-up. A slow-down divides the pace; one at or below minPace is set to 0.
+	paceStep = 10
+	minPace  = 10
 )
 
-// Pace returns the share at which filling tasks may work beside a serving task whose tail is at that part of its target:
-// quickly down and gently up.
+// Pace returns the new pace of filling tasks beside a serving task, given their current pace and the serving task's
+// tail latency as a fraction of its target. The pace falls quickly and rises slowly.
 func Pace(now int, tail float64) int {
 	switch {
 	case now == PaceUnknown:
-		return paceLeast
+		return minPace
 	case tail > 1:
-		if now <= paceLeast {
+		if now <= minPace {
 			return 0
 		}
 		return now / 3
-	case tail > paceDownAt:
-		if now <= paceLeast {
+	case tail > slowDownAbove:
+		if now <= minPace {
 			return 0
 		}
 		return now / 2
-	case tail < paceUpAt && now < paceFull:
-		return min(now+paceUpBy, paceFull)
+	case tail < speedUpBelow && now < fullPace:
+		return min(now+paceStep, fullPace)
 	}
 	return now
 }
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -69,5 +69,5 @@
 	c.Assert(Pace(40, 0.75), quicktest.Equals, 40)
 	c.Assert(Pace(40, 0.3), quicktest.Equals, 50)
 	c.Assert(Pace(100, 0.3), quicktest.Equals, 100)
-	c.Assert(Pace(PaceUnknown, 0.3), quicktest.Equals, paceLeast)
+	c.Assert(Pace(PaceUnknown, 0.3), quicktest.Equals, minPace)
 }
--- a/upkeep/wave.go
+++ b/upkeep/wave.go
@@ -10,40 +10,43 @@
 	"time"
 )
 
-// Figures of a wave's pace.
+// Parameters of the pace of a wave.
 const (
-	// emptyFor is how long an instance is taken to need to be emptied: assumed, a little under what short work is given.
-	emptyFor = 2 * time.Second
-	// lastingFor is the same for one with lasting tasks, which leave one after the other as their steps may miss them: 3 to 5 s
-	// in logs of a fleet of 1,100, where those that came last left a wave of 550 late by one.
-	lastingFor = 5 * time.Second
-	// useOf is the part of a wave's time in which it is to be done; the rest is for calls that fail.
-	useOf = 0.75
+	// emptyTime is the assumed time to empty an instance, a little less than the time that short tasks are given.
+	emptyTime = 2 * time.Second
+	// lastingEmptyTime is the same for an instance with lasting tasks, which leave one by one as their steps allow.
+	// It took 3 to 5 s in logs of a fleet of 1,100 instances, where the last ones made a wave of 550 late by one
+	// instance.
+	lastingEmptyTime = 5 * time.Second
+	// plannedPart is the fraction of a wave's time in which it is planned to be done. The rest is a reserve for
+	// failed calls.
+	plannedPart = 0.75
 )
 
-// Wave is what is known of a wave of upkeep.
+// Wave is the progress of a wave of instance upkeep.
 type Wave struct {
-	// Most may be away at once.
+	// MaxAway is the number of instances that may be away at the same time.
 	Most int
-	// Left counts the instances whose upkeep is not over, Out those of them that are being emptied or away, OutLasting those of
-	// these that lasting tasks still hold.
+	// Remaining is the number of instances whose upkeep is not done, Out the number of those that are being emptied
+	// or are away, and OutLasting the number of those that still have lasting tasks.
 	Left, Out, OutLasting int
-	// Within is the time that the wave has, Since what has passed of it, Each what one upkeep takes.
+	// Within is the time allowed for the wave, Elapsed the time since its start, and Each the duration of one
+	// upkeep.
 	Within, Since, Each time.Duration
 }
 
-// Candidate is an instance whose upkeep can begin.
+// Candidate is an instance whose upkeep may begin.
 type Candidate struct {
 	Name, Pool string
-	// Runs counts its runs, Lasting those that last.
+	// Runs is the number of its runs, and Lasting the number of those that belong to lasting tasks.
 	Runs, Lasting int
 }
 
-// width returns how many of that many instances must be out at a time for the wave to be done in time, when each takes as long
-// to be emptied.
+// width returns how many of the given number of instances must be out at the same time for the wave to end in time,
+// if each takes the given time to be emptied.
 func (w Wave) width(instances int, empty time.Duration) int {
-	left := time.Duration(useOf*float64(w.Within)) - w.Since
-	most := 2 * max(w.Most, 1) // as many are emptied as are away, so that none waits to begin
+	left := time.Duration(plannedPart*float64(w.Within)) - w.Since
+	most := 2 * max(w.Most, 1) // as many are being emptied as are away, so that the next one is always ready
 	if left <= 0 {
 		return most
 	}
@@ -51,16 +54,17 @@
 	return max(1, min(int(need), most))
 }
 
-// Next returns the instances to be taken out now: those that nobody needs at once, as many as may be away; others no
-// faster than the wave's time asks for, what is easily emptied first. Those with lasting tasks have a pace of their own from the
-// wave's begin on: they can't be hurried at its end. Surplus is how many instances each pool can spare.
+// Next returns the instances to be taken out now. Instances that no pool needs are taken at once, up to the number
+// that may be away. Others are taken no faster than the wave's time requires, the easiest to empty first. Those with
+// lasting tasks have a pace of their own from the start of the wave, because they can't be emptied quickly at its
+// end. Surplus is the number of instances that each pool can spare.
 func Next(w Wave, all []Candidate, surplus map[string]int) []Candidate {
 	all = slices.Clone(all)
 	slices.SortStableFunc(all, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(a.Lasting, b.Lasting), cmp.Compare(a.Runs, b.Runs), cmp.Compare(a.Name, b.Name))
 	})
 	spare := maps.Clone(surplus)
-	width := w.width(w.Left, emptyFor)
+	width := w.width(w.Left, emptyTime)
 	var out []Candidate
 	var busy, lasting []Candidate
 	for _, x := range all {
@@ -77,7 +81,7 @@
 		out = append(out, x)
 	}
 	for i, x := range lasting {
-		if w.OutLasting+i >= w.width(w.OutLasting+len(lasting), lastingFor) {
+		if w.OutLasting+i >= w.width(w.OutLasting+len(lasting), lastingEmptyTime) {
 			break
 		}
 		out = append(out, x)
--- a/upkeep/wave_test.go
+++ b/upkeep/wave_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestAWaveIsInTimeAtItsPace plays a wave without idle instances: each takes as long as is planned for.
+// Simulates a wave without idle instances, in which each upkeep takes as long as planned.
 func TestAWaveIsInTimeAtItsPace(t *testing.T) {
 	for _, n := range []int{1, 7, 27, 60} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -65,7 +65,7 @@
 				waiting = waiting[len(next):]
 				w.Out += len(next)
 				for range next {
-					ends = append(ends, w.Since+w.Each+emptyFor)
+					ends = append(ends, w.Since+w.Each+emptyTime)
 				}
 			}
 			quicktest.Assert(t, w.Since <= w.Within, quicktest.IsTrue, quicktest.Commentf("took %v", w.Since))
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestAWaveWithLastingTasksIsInTime plays a wave of which many instances hold tasks of lasting steps that may miss two of 14
-// tasks at a time, each away for 2.5 s, as in logs; the other instances are soon empty.
+// Simulates a wave in which many instances hold tasks of lasting steps. Each step may miss two of its 14 tasks at a
+// time, for 2.5 s each, as in logs. The other instances are soon empty.
 func TestAWaveWithLastingTasksIsInTime(t *testing.T) {
 	const (
 		instances, holding, steps, tasks = 550, 160, 70, 14
@@ -82,14 +82,14 @@
 		mayMiss                          = 2
 	)
 	type out struct {
-		steps       []int // of the tasks that it still holds
+		steps       []int // the steps of the tasks that it still holds
 		ready, ends time.Duration
 	}
 	r := rand.New(rand.NewPCG(1, 1))
 	w := Wave{Most: 230, Left: instances, Within: 24 * time.Second, Each: 2 * time.Second}
 	holds := make([][]int, instances)
 	for step := range steps {
-		for range tasks/2 + 1 { // the other half is on instances that are not of the wave
+		for range tasks/2 + 1 { // the other half is on instances outside the wave
 			i := r.IntN(holding)
 			holds[i] = append(holds[i], step)
 		}
@@ -99,11 +99,11 @@
 		waiting = append(waiting, Candidate{Name: fmt.Sprintf("%03d", i), Pool: "a", Runs: 1, Lasting: len(holds[i])})
 	}
 	var outs []*out
-	var away [steps][]time.Duration // when the tasks that are away are back
+	var away [steps][]time.Duration // when the missing tasks are back
 	for ; w.Left > 0 && w.Since < time.Minute; w.Since += tick {
 		for _, x := range Next(w, waiting, nil) {
 			i, _ := strconv.Atoi(x.Name)
-			outs = append(outs, &out{steps: holds[i], ready: w.Since + emptyFor})
+			outs = append(outs, &out{steps: holds[i], ready: w.Since + emptyTime})
 			waiting = slices.DeleteFunc(waiting, func(o Candidate) bool { return o.Name == x.Name })
 		}
 		for step := range away {
