--- a/job/lost_test.go
+++ b/job/lost_test.go
@@ -17,22 +17,22 @@
 
 func TestATaskIsHopelessByWhatItsLostRunsProve(t *testing.T) {
 	plain := job.LostRun{Suspects: 5}
-	tried := job.LostRun{Suspects: 1, Tried: true}
-	proved := job.LostRun{Suspects: 1, Tried: true, Proved: true}
+	isolated := job.LostRun{Suspects: 1, Tried: true}
+	conclusive := job.LostRun{Suspects: 1, Tried: true, Proved: true}
 	for _, x := range [...]struct {
 		name string
 		lost []job.LostRun
 		want bool
 	}{
 		{"none", nil, false},
-		{"one that proves", []job.LostRun{proved}, false},
-		{"two, the last proves", []job.LostRun{plain, proved}, true},
-		{"two, the last points at it", []job.LostRun{plain, tried}, false},
-		{"three, the last points at it", []job.LostRun{plain, plain, tried}, true},
-		{"three beside others", []job.LostRun{plain, tried, plain}, false},
-		{"two at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, proved}, false},
-		{"three at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, {Tried: true, Age: 400 * time.Millisecond}, tried}, false},
-		{"two, the first by an earlier leader", []job.LostRun{{Suspects: 5, Age: job.AgeUnknown}, proved}, false},
+		{"one that proves", []job.LostRun{conclusive}, false},
+		{"two, the last proves", []job.LostRun{plain, conclusive}, true},
+		{"two, the last points at it", []job.LostRun{plain, isolated}, false},
+		{"three, the last points at it", []job.LostRun{plain, plain, isolated}, true},
+		{"three beside others", []job.LostRun{plain, isolated, plain}, false},
+		{"two at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, conclusive}, false},
+		{"three at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, {Tried: true, Age: 400 * time.Millisecond}, isolated}, false},
+		{"two, the first by an earlier leader", []job.LostRun{{Suspects: 5, Age: job.AgeUnknown}, conclusive}, false},
 		{"four at ages that differ", []job.LostRun{{Age: time.Second}, {Age: 2 * time.Second}, plain, {}}, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/org/staleness.go
+++ b/org/staleness.go
@@ -10,7 +10,7 @@
 // Verdict is the result of checking an API key.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts on an API key.
 const (
 	// Refused means that the key is certainly unknown. The call was not carried out, and a retry would be refused
 	// as well.
--- a/place/outlook_test.go
+++ b/place/outlook_test.go
@@ -22,12 +22,12 @@
 		what         string
 		first, after float64
 	}{
-		{"what earns more of two that are fresh", expected(0, 2*time.Second, 2), expected(0, 2*time.Second, 1)},
-		{"what can't wait of two that earn the same", expected(1500*time.Millisecond, 2*time.Second, 1), expected(0, 2*time.Second, 1)},
-		{"what can be in time", expected(0, 2*time.Second, 1), expected(6*time.Second, 2*time.Second, 3)},
-		{"what seems to be late by a moment", expected(2100*time.Millisecond, 2*time.Second, 1), expected(6*time.Second, 2*time.Second, 3)},
-		{"what is late and still earns", expected(5*time.Second, 2*time.Second, 1), expected(13*time.Second, 2*time.Second, 3)},
-		{"what is nearly done", expected(3*time.Second, 500*time.Millisecond, 4), expected(0, 2*time.Second, 1)},
+		{"the more valuable of two new jobs", expected(0, 2*time.Second, 2), expected(0, 2*time.Second, 1)},
+		{"the job that can't wait of two with the same value", expected(1500*time.Millisecond, 2*time.Second, 1), expected(0, 2*time.Second, 1)},
+		{"a job that can be in time", expected(0, 2*time.Second, 1), expected(6*time.Second, 2*time.Second, 3)},
+		{"a job that is slightly late by its estimate", expected(2100*time.Millisecond, 2*time.Second, 1), expected(6*time.Second, 2*time.Second, 3)},
+		{"a late job that still has some value", expected(5*time.Second, 2*time.Second, 1), expected(13*time.Second, 2*time.Second, 3)},
+		{"a job that is nearly done", expected(3*time.Second, 500*time.Millisecond, 4), expected(0, 2*time.Second, 1)},
 	} {
 		c.Check(x.first > x.after, quicktest.IsTrue, quicktest.Commentf("%s: %.4f and %.4f", x.what, x.first, x.after))
 	}
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -105,14 +105,14 @@
 
 func TestAJobGoesToAWorkerThatNoPlanWillEmptyBeforeItsEnd(t *testing.T) {
 	c := quicktest.New(t)
-	turns := map[string]time.Duration{"w0": time.Minute, "w1": time.Hour}
-	until := func(id string) (time.Duration, bool) { d, ok := turns[id]; return d, ok }
+	drains := map[string]time.Duration{"w0": time.Minute, "w1": time.Hour}
+	until := func(id string) (time.Duration, bool) { d, ok := drains[id]; return d, ok }
 	run := func(d time.Duration) map[string]string {
 		return admitted(c, testTables(c, 3, fleet.JobSpec{ID: "j", Cores: 1, RunTime: fleet.Duration(d)}), Options{Until: until})
 	}
 	c.Assert(run(2 * time.Hour)["j"], quicktest.Equals, "w2")
-	delete(turns, "w2")
-	turns["w2"] = time.Second
+	delete(drains, "w2")
+	drains["w2"] = time.Second
 	c.Assert(run(2 * time.Hour)["j"], quicktest.Equals, "w1") // of the two that are drained before the job ends, the one that is drained later
 	c.Assert(run(30 * time.Second)["j"], quicktest.Equals, "w0")
 }
--- a/place/shares_test.go
+++ b/place/shares_test.go
@@ -28,9 +28,9 @@
 	return l.Draft(nil)
 }
 
-func chosen(groups []*Group, rooms []*Room, draft *org.Draft) string {
+func chosen(groups []*Group, candidates []*Room, draft *org.Draft) string {
 	out := make(map[string]string)
-	for _, x := range Tasks(groups, rooms, draft) {
+	for _, x := range Tasks(groups, candidates, draft) {
 		out[x.Task.Name()] = x.Room.Worker.Life
 	}
 	return fmt.Sprint(out)
@@ -48,9 +48,9 @@
 func TestAGangNeedsItsCapForAllMembers(t *testing.T) {
 	c := quicktest.New(t)
 	gang := func() *Group { return of(groupOf("a", job.Step{Count: 3, Need: cpu(1000), Gang: true}), "a") }
-	rooms := func() []*Room { return []*Room{candidateOf("w1", "r1", 4000, 4000)} }
-	c.Assert(chosen([]*Group{gang()}, rooms(), draftOf(c, 2999)), quicktest.Equals, "map[]")
-	c.Assert(chosen([]*Group{gang()}, rooms(), draftOf(c, 3000)), quicktest.Equals, "map[a.0.0.0:w1 a.0.0.1:w1 a.0.0.2:w1]")
+	candidates := func() []*Room { return []*Room{candidateOf("w1", "r1", 4000, 4000)} }
+	c.Assert(chosen([]*Group{gang()}, candidates(), draftOf(c, 2999)), quicktest.Equals, "map[]")
+	c.Assert(chosen([]*Group{gang()}, candidates(), draftOf(c, 3000)), quicktest.Equals, "map[a.0.0.0:w1 a.0.0.1:w1 a.0.0.2:w1]")
 }
 
 // A gang fits under the cap but on no worker. What it took from the cap must be returned, so that the next task of
--- a/place/tasks_test.go
+++ b/place/tasks_test.go
@@ -131,9 +131,9 @@
 				r.Fatal("a worker has more tasks of a step than the step allows")
 			}
 		}
-		for _, room := range candidates {
-			if room.Free.MilliCPU < 0 || room.Free.MemoryMB < 0 {
-				r.Fatalf("free capacity is negative: %+v", room.Free)
+		for _, candidate := range candidates {
+			if candidate.Free.MilliCPU < 0 || candidate.Free.MemoryMB < 0 {
+				r.Fatalf("free capacity is negative: %+v", candidate.Free)
 			}
 		}
 	})
--- a/upkeep/bursts_test.go
+++ b/upkeep/bursts_test.go
@@ -11,9 +11,9 @@
 )
 
 // round simulates bursts that pass from pool to pool, and returns what was expected shortly before each burst.
-func round(t *Turns, now time.Time, pools []string, turns int, each time.Duration) (expected []string) {
+func round(t *Turns, now time.Time, pools []string, count int, each time.Duration) (expected []string) {
 	const tick = 100 * time.Millisecond
-	for i := range turns {
+	for i := range count {
 		for at := time.Duration(0); at < each; at += tick {
 			for k, p := range pools {
 				load := 0.0
@@ -46,27 +46,27 @@
 
 func TestAPoolWithoutTurnsIsExpectedInTheFirstRoundOnly(t *testing.T) {
 	c := quicktest.New(t)
-	turns := new(Turns)
-	turns.See("idle", Load{Have: 20}, start)
-	c.Assert(turns.Fresh("idle"), quicktest.IsTrue)
-	got := round(turns, start, []string{"a", "b"}, 6, 4*time.Second)
+	bursts := new(Turns)
+	bursts.See("idle", Load{Have: 20}, start)
+	c.Assert(bursts.Fresh("idle"), quicktest.IsTrue)
+	got := round(bursts, start, []string{"a", "b"}, 6, 4*time.Second)
 	c.Assert(got[1], quicktest.Equals, "idle:12")
 	c.Assert(got[2:], quicktest.DeepEquals, []string{"b:12", "a:12", "b:12", "a:12"})
-	c.Assert(turns.Fresh("idle"), quicktest.IsFalse)
+	c.Assert(bursts.Fresh("idle"), quicktest.IsFalse)
 }
 
 func TestAPoolThatMissesItsTurnIsNotExpectedAgain(t *testing.T) {
 	c := quicktest.New(t)
-	turns := new(Turns)
-	round(turns, start, []string{"a", "b", "c"}, 6, 4*time.Second)
-	got := round(turns, start.Add(24*time.Second), []string{"a", "b"}, 6, 4*time.Second) // c has no more load
+	bursts := new(Turns)
+	round(bursts, start, []string{"a", "b", "c"}, 6, 4*time.Second)
+	got := round(bursts, start.Add(24*time.Second), []string{"a", "b"}, 6, 4*time.Second) // c has no more load
 	c.Assert(got[2:], quicktest.DeepEquals, []string{"b:12", "a:12", "b:12", "a:12"})
 }
 
 func TestNothingIsExpectedOnceLoadHasStopped(t *testing.T) {
-	turns := new(Turns)
-	round(turns, start, []string{"a", "b", "c"}, 6, 4*time.Second)
-	quicktest.Assert(t, turns.Next(2*time.Second, start.Add(time.Minute)), quicktest.HasLen, 0)
+	bursts := new(Turns)
+	round(bursts, start, []string{"a", "b", "c"}, 6, 4*time.Second)
+	quicktest.Assert(t, bursts.Next(2*time.Second, start.Add(time.Minute)), quicktest.HasLen, 0)
 }
 
 // A pool of a thousand instances always has some at work. This base load was once taken for the pool's first burst,
@@ -74,26 +74,26 @@
 // real burst.
 func TestWhatIsAlwaysThereIsNoTurn(t *testing.T) {
 	c := quicktest.New(t)
-	turns := new(Turns)
+	bursts := new(Turns)
 	now := start
 	for range 50 {
-		turns.See("a", Load{Need: 12, Used: 12, Have: 1000}, now)
+		bursts.See("a", Load{Need: 12, Used: 12, Have: 1000}, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	c.Assert(turns.Fresh("a"), quicktest.IsTrue)
-	c.Assert(turns.Last, quicktest.Equals, "")
+	c.Assert(bursts.Fresh("a"), quicktest.IsTrue)
+	c.Assert(bursts.Last, quicktest.Equals, "")
 	for range 20 {
-		turns.See("a", Load{Need: 250, Used: 200, Have: 1000}, now)
+		bursts.See("a", Load{Need: 250, Used: 200, Have: 1000}, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	c.Assert(turns.Last, quicktest.Equals, "a")
-	c.Assert(turns.Fresh("a"), quicktest.IsTrue, quicktest.Commentf("the demand of a burst is known once it is over"))
+	c.Assert(bursts.Last, quicktest.Equals, "a")
+	c.Assert(bursts.Fresh("a"), quicktest.IsTrue, quicktest.Commentf("the demand of a burst is known once it is over"))
 	for range 40 {
-		turns.See("a", Load{Need: 12, Used: 12, Have: 1000}, now)
+		bursts.See("a", Load{Need: 12, Used: 12, Have: 1000}, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	c.Assert(turns.Fresh("a"), quicktest.IsFalse)
-	need, used, known := turns.Whole("a", now)
+	c.Assert(bursts.Fresh("a"), quicktest.IsFalse)
+	need, used, known := bursts.Whole("a", now)
 	c.Assert(known && need > 200 && used == 200, quicktest.IsTrue, quicktest.Commentf("%.0f %.0f", need, used))
 }
 
@@ -101,21 +101,21 @@
 // settledAfter.
 func TestATurnThatHasGoneOnForLongTellsOfOthers(t *testing.T) {
 	c := quicktest.New(t)
-	turns := new(Turns)
+	bursts := new(Turns)
 	now := start
 	at := func(d time.Duration) {
 		for range d / (100 * time.Millisecond) {
-			turns.See("a", Load{Need: 250, Used: 200, Have: 1000}, now)
-			turns.See("b", Load{Need: 5, Used: 5, Have: 1000}, now)
+			bursts.See("a", Load{Need: 250, Used: 200, Have: 1000}, now)
+			bursts.See("b", Load{Need: 5, Used: 5, Have: 1000}, now)
 			now = now.Add(100 * time.Millisecond)
 		}
 	}
 	at(2 * time.Second)
-	_, used, known := turns.Whole("b", now)
+	_, used, known := bursts.Whole("b", now)
 	c.Assert(used == 0 && !known, quicktest.IsTrue)
 	at(3 * time.Second)
-	_, used, known = turns.Whole("b", now)
+	_, used, known = bursts.Whole("b", now)
 	c.Assert(used == 200 && !known, quicktest.IsTrue, quicktest.Commentf("%.0f", used))
-	_, used, _ = turns.Whole("a", now)
+	_, used, _ = bursts.Whole("a", now)
 	c.Assert(used, quicktest.Equals, 0.0, quicktest.Commentf("an ongoing burst is no estimate for its own pool"))
 }
