--- a/job/job.go
+++ b/job/job.go
@@ -71,7 +71,7 @@
 	// LateUntil is the time until which a later life of the worker may still carry out an unanswered start of the
 	// task. The task is not started elsewhere before then. The zero time means that no such start is outstanding.
 	LateUntil time.Time
-	// Refused counts the consecutive stepOffsets that were refused. Failures counts the consecutive runs that ended
+	// Refused counts the consecutive starts that were refused. Failures counts the consecutive runs that ended
 	// soon: for a lasting task those that failed, for any task also those with an unspecified outcome.
 	Refused, Failures int
 	// Stopping reports that the run was told to stop.
@@ -123,7 +123,7 @@
 	Ended time.Time
 	// Cancelling reports that a request to cancel was accepted.
 	Cancelling bool
-	// Received is when this process learned of the job. From is when its target time stepOffsets, which is earlier for a
+	// Received is when this process learned of the job. From is when its target time starts, which is earlier for a
 	// job that was accepted before a takeover.
 	Received, From time.Time
 	// OverRate reports that the organisation submitted the job beyond its rate, so that it only uses capacity that
--- a/job/spec.go
+++ b/job/spec.go
@@ -140,13 +140,13 @@
 		return specErrorf("its ID must be 16 hex digits")
 	}
 	if len(s.Text) > MaxText {
-		return specErrorf("its text has %d bytes; the limit is %d", len(s.Text), MaxText)
+		return specErrorf("its text has %d bytes; at most %d are taken", len(s.Text), MaxText)
 	}
 	if n := len(s.Steps); n == 0 || n > MaxSteps {
-		return specErrorf("it has %d steps; 1 to %d are allowed", n, MaxSteps)
+		return specErrorf("it has %d steps; give 1 to %d", n, MaxSteps)
 	}
 	if s.Times < 0 || s.Every < 0 || s.First < 0 || int64(s.Every) > int64(maxSpan) {
-		return specErrorf("its times must not be negative or more than ten years apart")
+		return specErrorf("its times must be positive and under ten years apart")
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -156,21 +156,21 @@
 		tasks += s.Steps[i].Count
 	}
 	if total := tasks * max(s.Times, 1); s.Times > MaxTasks || total > MaxTasks {
-		return specErrorf("it has more than %d tasks; split it into several jobs", MaxTasks)
+		return specErrorf("it has over %d tasks; split it", MaxTasks)
 	}
 	return nil
 }
 
 func (s *Step) check(number int) error {
 	if s.Count < 1 || s.Count > MaxTasks {
-		return specErrorf("step %d has %d tasks; 1 to %d are allowed", number, s.Count, MaxTasks)
+		return specErrorf("step %d has %d tasks; give 1 to %d", number, s.Count, MaxTasks)
 	}
 	n := s.Need
 	if min(n.MilliCPU, n.MemoryMB, n.GPU) < 0 || max(n.MilliCPU, n.MemoryMB, n.GPU) > maxNeed {
-		return specErrorf("step %d asks for a negative or excessive amount of a resource", number)
+		return specErrorf("step %d asks for a negative or absurd size", number)
 	}
 	if s.Estimate < 0 || int64(s.Estimate) > int64(maxSpan) || s.TailTarget < 0 || s.MayMiss < 0 || s.PerWorker < 0 {
-		return specErrorf("step %d has a negative or excessive time or limit", number)
+		return specErrorf("step %d has a negative or absurd time or limit", number)
 	}
 	for _, a := range s.After {
 		if a < 0 || a >= number {
