--- a/job/lost_test.go
+++ b/job/lost_test.go
@@ -17,22 +17,22 @@
 
 func TestATaskIsHopelessByWhatItsLostRunsProve(t *testing.T) {
 	plain := job.LostRun{Suspects: 5}
-	tried := job.LostRun{Suspects: 1, Tried: true}
-	proved := job.LostRun{Suspects: 1, Tried: true, Proved: true}
+	isolated := job.LostRun{Suspects: 1, Tried: true}
+	conclusive := job.LostRun{Suspects: 1, Tried: true, Proved: true}
 	for _, x := range [...]struct {
 		name string
 		lost []job.LostRun
 		want bool
 	}{
 		{"none", nil, false},
-		{"one that proves", []job.LostRun{proved}, false},
-		{"two, the last proves", []job.LostRun{plain, proved}, true},
-		{"two, the last points at it", []job.LostRun{plain, tried}, false},
-		{"three, the last points at it", []job.LostRun{plain, plain, tried}, true},
-		{"three beside others", []job.LostRun{plain, tried, plain}, false},
-		{"two at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, proved}, false},
-		{"three at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, {Tried: true, Age: 400 * time.Millisecond}, tried}, false},
-		{"two, the first by an earlier leader", []job.LostRun{{Suspects: 5, Age: job.AgeUnknown}, proved}, false},
+		{"one that proves", []job.LostRun{conclusive}, false},
+		{"two, the last proves", []job.LostRun{plain, conclusive}, true},
+		{"two, the last points at it", []job.LostRun{plain, isolated}, false},
+		{"three, the last points at it", []job.LostRun{plain, plain, isolated}, true},
+		{"three beside others", []job.LostRun{plain, isolated, plain}, false},
+		{"two at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, conclusive}, false},
+		{"three at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, {Tried: true, Age: 400 * time.Millisecond}, isolated}, false},
+		{"two, the first by an earlier leader", []job.LostRun{{Suspects: 5, Age: job.AgeUnknown}, conclusive}, false},
 		{"four at ages that differ", []job.LostRun{{Age: time.Second}, {Age: 2 * time.Second}, plain, {}}, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 	c.Assert(job.Decode(value, &kept), quicktest.IsNil)
 	next := lostJob(false)
 	c.Assert(j.Lose(&j.Tasks[0], job.LostRun{Run: 8, Age: job.AgeUnknown}), quicktest.IsTrue)
-	next.RestoreLost(append(j.KeepLost(), job.KeptLost{Ordinal: 99})) // of another version's job: left out
+	next.RestoreLost(append(j.KeepLost(), job.KeptLost{Ordinal: 99})) // an entry of another version's job is ignored
 	c.Assert(next.Tasks[1].Lost, quicktest.DeepEquals, []job.LostRun{l})
 	c.Assert(next.Tasks[1].Suspect, quicktest.IsTrue)
 	c.Assert(next.Tasks[0].Suspect, quicktest.IsFalse)
@@ -91,5 +91,5 @@
 	c.Assert(j.Tasks[0].Parked(), quicktest.IsTrue)
 	c.Assert(j.State, quicktest.Equals, job.Queued)
 	give(&j.Tasks[1])
-	c.Assert(j.State, quicktest.Equals, job.Failed) // nothing of it is left
+	c.Assert(j.State, quicktest.Equals, job.Failed) // no task of it may be started any more
 }
