--- a/pool/advice.go
+++ b/pool/advice.go
@@ -13,27 +13,27 @@
 	"rackstep.dev/place"
 )
 
-// Figures of the questions to the advice service.
+// Limits and timing of requests to the advice service.
 const (
-	// adviseFirst is how many workers one question names: each costs time, and few are needed.
-	adviseFirst = 6
-	// adviseSpare is how long a ticket must still be valid for a start to use it.
-	adviseSpare = 200 * time.Millisecond
-	// adviseMargin is added to the time that the service says it takes.
+	// maxAdviceCandidates is the maximum number of workers in a request: each one adds to its duration, and few are needed.
+	maxAdviceCandidates = 6
+	// minTicketValidity is the minimum remaining validity of a ticket that is used for a start.
+	minTicketValidity = 200 * time.Millisecond
+	// adviseMargin is added to the response time stated by the service to obtain the timeout.
 	adviseMargin = 500 * time.Millisecond
-	// askedFor is how long a worker that got no ticket is not asked about again: the answer does not change.
-	askedFor = 10 * time.Second
+	// refusalTTL is how long a worker that was refused a ticket is left out of requests: the answer does not change.
+	refusalTTL = 10 * time.Second
 )
 
-// stepTickets are the tickets of one step, by the worker's life.
+// stepTickets holds the tickets of one step, by worker incarnation.
 type stepTickets struct {
 	tickets map[string]Ticket
-	// refused are the lives that may not run the step, and when that was said.
+	// refused holds the incarnations that may not run the step, with the time of the answer.
 	refused map[string]time.Time
 }
 
-// withTickets gives the group its tickets where its queue needs them; it says whether anything of it may start.
-func (c *session) withTickets(g *place.Group, now time.Time) bool {
+// attachTickets sets the tickets of a group whose queue requires them, and reports whether any task of the group may start.
+func (c *session) attachTickets(g *place.Group, now time.Time) bool {
 	q := c.queue(g.Job)
 	if q.Advice == nil || c.Advise == nil {
 		return true
@@ -46,32 +46,33 @@
 	}
 	g.Tickets = make(map[string]string)
 	for life, t := range s.tickets {
-		if w := c.workers[life]; w == nil || t.Until.Before(now.Add(adviseSpare)) {
+		if w := c.workers[life]; w == nil || t.Until.Before(now.Add(minTicketValidity)) {
 			delete(s.tickets, life)
-		} else if c.hasRoom(w, g, now) {
+		} else if c.hasCapacity(w, g, now) {
 			g.Tickets[life] = t.Ticket
 		}
 	}
 	if len(g.Tickets) == 0 {
-		c.askAdvice(name, s, g, q, now)
+		c.requestAdvice(name, s, g, q, now)
 	}
 	return len(g.Tickets) > 0
 }
 
-func (c *session) hasRoom(w *worker, g *place.Group, now time.Time) bool {
-	n := place.Charge(&g.Job.Spec.Steps[g.Step])
-	f := w.room.Free
-	return w.usable(now) && f.MilliCPU >= n.MilliCPU && f.MemoryMB >= n.MemoryMB && f.GPU >= n.GPU
+func (c *session) hasCapacity(w *worker, g *place.Group, now time.Time) bool {
+	need := place.Charge(&g.Job.Spec.Steps[g.Step])
+	free := w.room.Free
+	return w.usable(now) && free.MilliCPU >= need.MilliCPU && free.MemoryMB >= need.MemoryMB && free.GPU >= need.GPU
 }
 
-// askAdvice asks about the emptiest workers that were not refused, one question at a time.
-func (c *session) askAdvice(name string, s *stepTickets, g *place.Group, q job.Queue, now time.Time) {
+// requestAdvice requests tickets for the workers with the most free capacity that were not refused recently. Only one request is in progress at a
+// time.
+func (c *session) requestAdvice(name string, s *stepTickets, g *place.Group, q job.Queue, now time.Time) {
 	if c.advising {
 		return
 	}
 	var candidates []*worker
 	for _, w := range c.workers {
-		if at, no := s.refused[w.Life]; w.Pool == q.Pool && c.hasRoom(w, g, now) && (!no || now.Sub(at) > askedFor) {
+		if at, wasRefused := s.refused[w.Life]; w.Pool == q.Pool && c.hasCapacity(w, g, now) && (!wasRefused || now.Sub(at) > refusalTTL) {
 			candidates = append(candidates, w)
 		}
 	}
@@ -79,29 +80,29 @@
 		return
 	}
 	slices.SortFunc(candidates, func(a, b *worker) int { return cmp.Compare(b.room.Free.MilliCPU, a.room.Free.MilliCPU) })
-	lives := make([]string, 0, adviseFirst)
-	for _, w := range candidates[:min(adviseFirst, len(candidates))] {
+	lives := make([]string, 0, maxAdviceCandidates)
+	for _, w := range candidates[:min(maxAdviceCandidates, len(candidates))] {
 		lives = append(lives, w.Life)
 	}
 	c.advising = true
-	limit := q.Advice.Decide + time.Duration(len(lives))*q.Advice.Each + adviseMargin
+	timeout := q.Advice.Decide + time.Duration(len(lives))*q.Advice.Each + adviseMargin
 	c.work.Go(func() {
-		ctx, cancel := context.WithTimeout(c.ctx, limit)
+		ctx, cancel := context.WithTimeout(c.ctx, timeout)
 		defer cancel()
 		tickets, err := c.Advise(ctx, name, lives)
-		c.post(adviceRead{step: name, lives: lives, tickets: tickets, err: err})
+		c.post(adviceReceived{step: name, lives: lives, tickets: tickets, err: err})
 	})
 }
 
-// adviceRead is the advice service's answer.
-type adviceRead struct {
+// adviceReceived is the response of the advice service.
+type adviceReceived struct {
 	step    string
 	lives   []string
 	tickets []Ticket
 	err     error
 }
 
-func (m adviceRead) apply(c *session) {
+func (m adviceReceived) apply(c *session) {
 	c.advising = false
 	s := c.tickets[m.step]
 	if m.err != nil || s == nil {
@@ -121,14 +122,14 @@
 	}
 }
 
-// forgetTicket drops a ticket that a worker refused.
+// forgetTicket removes a ticket that a worker rejected.
 func (c *session) forgetTicket(t *job.Task, life string) {
 	if s := c.tickets[stepName(t)]; s != nil {
 		delete(s.tickets, life)
 	}
 }
 
-// forgetTickets drops what the advice service has said of a job's steps: another job may come to bear its ID.
+// forgetTickets removes all tickets and refusals of a job's steps, because its ID may be reused by another job.
 func (c *session) forgetTickets(j *job.Job) {
 	for i := range j.Tasks {
 		delete(c.tickets, stepName(&j.Tasks[i]))
--- a/pool/advice_test.go
+++ b/pool/advice_test.go
@@ -13,8 +13,8 @@
 	"rackstep.dev/job"
 )
 
-// TestTicketsGoWithTheirJob has a job's ID be used for another one once its state is owed to nobody: what was said of the first one's
-// steps must not keep workers from the second.
+// TestTicketsGoWithTheirJob guards against stale advice: after a job is forgotten its ID may be reused, and a refusal for the first job's steps would
+// exclude workers from the second job.
 func TestTicketsGoWithTheirJob(t *testing.T) {
 	c := quicktest.New(t)
 	j := one(2)
--- a/pool/desk_test.go
+++ b/pool/calllimiter_test.go
@@ -16,21 +16,21 @@
 	"rackstep.dev/job"
 )
 
-// interfaceOf is a machine interface that takes a time for each call.
-type interfaceOf struct {
+// fakeMachines is a machine interface whose calls take a fixed time.
+type fakeMachines struct {
 	takes time.Duration
-	// perSecond is what it takes in a second; more are refused.
+	// perSecond is its rate limit; calls beyond it are rejected. 0 means no limit.
 	perSecond int
 
 	mu       sync.Mutex
-	underWay int
+	inFlight int
 	most     int
 	at       []time.Time
 	refused  int
 	moved    map[string]string
 }
 
-func (x *interfaceOf) move(ctx context.Context, machine, to string, _ int64) error {
+func (x *fakeMachines) move(ctx context.Context, machine, to string, _ int64) error {
 	x.mu.Lock()
 	now := time.Now()
 	for len(x.at) > 0 && now.Sub(x.at[0]) >= time.Second {
@@ -42,13 +42,13 @@
 		return ErrTooMany
 	}
 	x.at = append(x.at, now)
-	x.underWay++
-	x.most = max(x.most, x.underWay)
+	x.inFlight++
+	x.most = max(x.most, x.inFlight)
 	x.mu.Unlock()
 	sleep(ctx, x.takes)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.underWay--
+	x.inFlight--
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -56,15 +56,15 @@
 	return nil
 }
 
-// done returns a copy of what was moved, and how many calls were under way at once and refused.
-func (x *interfaceOf) done() (moved map[string]string, most, refused int) {
+// done returns a copy of the completed moves, the maximum number of concurrent calls, and the number of rejected ones.
+func (x *fakeMachines) done() (moved map[string]string, most, refused int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return maps.Clone(x.moved), x.most, x.refused
 }
 
-// newDesk returns a session of two pools and a headroom with that many instances that are off.
-func newDesk(c *quicktest.C, x *interfaceOf, off int) *bench {
+// newMoveBench returns a session with two pools and a headroom pool of the given number of instances that are off.
+func newMoveBench(c *quicktest.C, x *fakeMachines, off int) *bench {
 	x.moved = make(map[string]string)
 	b := newBench(c, nil, "w1")
 	b.config = &job.Catalog{
@@ -82,8 +82,9 @@
 	return b
 }
 
-// lives on for a time, as the control goroutine does; need is what pool p needs in instances.
-func (b *bench) sizeFor(d time.Duration, pool string, work float64) {
+// sizeRepeatedly runs the message loop and the sizing of pools for the given time, as the control goroutine does, while the given work is submitted
+// to the pool.
+func (b *bench) sizeRepeatedly(d time.Duration, pool string, work float64) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		b.pool(pool).handed = []handed{{at: time.Now(), work: work}}
 		for _, m := range b.inbox.take() {
@@ -99,18 +100,18 @@
 func TestManyMovesWantedAtOnceLeaveAsTheInterfaceTakesThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		x := &interfaceOf{takes: 20 * time.Millisecond, perSecond: 590}
-		b := newDesk(c, x, 500)
+		x := &fakeMachines{takes: 20 * time.Millisecond, perSecond: 590}
+		b := newMoveBench(c, x, 500)
 		b.Machines.PerSecond = 590
 		began := time.Now()
 		moved, most, refused := x.done()
 		for len(moved) < 480 && time.Since(began) < 10*time.Second {
-			b.sizeFor(100*time.Millisecond, "p", 480)
+			b.sizeRepeatedly(100*time.Millisecond, "p", 480)
 			moved, most, refused = x.done()
 		}
 		c.Assert(len(moved) >= 480, quicktest.IsTrue, quicktest.Commentf("%d moved", len(moved)))
 		c.Assert(time.Since(began) < 1500*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", time.Since(began)))
-		c.Assert(most <= deskMost, quicktest.IsTrue, quicktest.Commentf("%d at once", most))
+		c.Assert(most <= maxMachineCalls, quicktest.IsTrue, quicktest.Commentf("%d at once", most))
 		c.Assert(refused, quicktest.Equals, 0)
 	})
 }
@@ -118,13 +119,13 @@
 func TestAMoveThatIsNoLongerWantedDoesNotLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		x := &interfaceOf{takes: 500 * time.Millisecond}
-		b := newDesk(c, x, 300)
-		b.sizeFor(200*time.Millisecond, "p", 250)
+		x := &fakeMachines{takes: 500 * time.Millisecond}
+		b := newMoveBench(c, x, 300)
+		b.sizeRepeatedly(200*time.Millisecond, "p", 250)
 		_, most, _ := x.done()
-		c.Assert(most, quicktest.Equals, deskMost)
+		c.Assert(most, quicktest.Equals, maxMachineCalls)
 		b.pool("p").handed = nil
-		b.sizeFor(4*time.Second, "other", 100) // another pool's load has come instead
+		b.sizeRepeatedly(4*time.Second, "other", 100) // the load has moved to another pool
 		toP, toOther := 0, 0
 		moved, _, _ := x.done()
 		for _, to := range moved {
@@ -135,7 +136,7 @@
 				toOther++
 			}
 		}
-		c.Assert(toP <= 3*deskMost, quicktest.IsTrue, quicktest.Commentf("%d moved to p", toP))
+		c.Assert(toP <= 3*maxMachineCalls, quicktest.IsTrue, quicktest.Commentf("%d moved to p", toP))
 		c.Assert(toOther >= 90, quicktest.IsTrue, quicktest.Commentf("%d moved to other", toOther))
 	})
 }
@@ -143,41 +144,42 @@
 func TestAMachineInterfaceThatRefusesOrIsSlowOrDeadIsNotPressed(t *testing.T) {
 	for _, test := range [...]struct {
 		name  string
-		x     *interfaceOf
+		x     *fakeMachines
 		moved int
 		calls int
 	}{
-		{"takes fewer than it says", &interfaceOf{takes: 5 * time.Millisecond, perSecond: 50}, 100, 500},
-		{"slow", &interfaceOf{takes: 900 * time.Millisecond}, 4 * deskMost, 500},
-		{"dead", &interfaceOf{takes: time.Hour}, 0, 5 * deskMost},
+		{"takes fewer than it says", &fakeMachines{takes: 5 * time.Millisecond, perSecond: 50}, 100, 500},
+		{"slow", &fakeMachines{takes: 900 * time.Millisecond}, 4 * maxMachineCalls, 500},
+		{"dead", &fakeMachines{takes: time.Hour}, 0, 5 * maxMachineCalls},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				x := test.x
-				b := newDesk(c, x, 300)
-				b.sizeFor(5*time.Second, "p", 290)
+				b := newMoveBench(c, x, 300)
+				b.sizeRepeatedly(5*time.Second, "p", 290)
 				moved, most, refused := x.done()
 				c.Assert(len(moved) >= test.moved, quicktest.IsTrue, quicktest.Commentf("%d moved", len(moved)))
-				c.Assert(most <= deskMost, quicktest.IsTrue)
+				c.Assert(most <= maxMachineCalls, quicktest.IsTrue)
 				c.Assert(refused < test.calls, quicktest.IsTrue, quicktest.Commentf("%d refused", refused))
 			})
 		})
 	}
 }
 
-// TestAnInstanceWhoseLifeHasLeftTheTablesIsNotMoved has the life end its lease unlisted between the decision and the call: found by
-// random histories (seed 71858, a lasting task ended by a move while another of its step was away).
+// TestAnInstanceWhoseLifeHasLeftTheTablesIsNotMoved guards against moving an instance whose incarnation was removed, because its lease ended while it
+// was unlisted, between the decision and the call. Such a move ended a long-running task while another one of its step was away. Found by random
+// histories (seed 71858).
 func TestAnInstanceWhoseLifeHasLeftTheTablesIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		x := new(interfaceOf)
-		b := newDesk(c, x, 0)
+		x := new(fakeMachines)
+		b := newMoveBench(c, x, 0)
 		now := time.Now()
 		b.moves["m-w1"] = &moveStep{to: "spare", life: "w1", since: now, notBefore: now.Add(time.Second)}
 		b.leaveOut(b.workers["w1"], "its lease is over and it is not listed")
 		time.Sleep(2 * time.Second)
-		b.carryMoves(time.Now())
+		b.advanceMoves(time.Now())
 		synctest.Wait()
 		moved, _, _ := x.done()
 		c.Assert(moved, quicktest.HasLen, 0)
@@ -185,12 +187,13 @@
 	})
 }
 
-// TestACallThatComesLateToItsTurnDoesNotLeave has the lead's proof grow old between the decision and the call.
+// TestACallThatComesLateToItsTurnDoesNotLeave guards against calling the machine interface after the confirmation of the lead has expired between the
+// decision and the call.
 func TestACallThatComesLateToItsTurnDoesNotLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		x := new(interfaceOf)
-		b := newDesk(c, x, 1)
+		x := new(fakeMachines)
+		b := newMoveBench(c, x, 1)
 		looks := 0
 		b.ConfirmedAt = func() time.Time {
 			if looks++; looks > 1 {
@@ -200,7 +203,7 @@
 		}
 		s := &moveStep{to: "p", since: time.Now()}
 		b.moves["off000"] = s
-		b.askMove("off000", s)
+		b.requestMove("off000", s)
 		synctest.Wait()
 		for _, m := range b.inbox.take() {
 			m.apply(b.session)
--- a/pool/demand.go
+++ b/pool/demand.go
@@ -11,74 +11,75 @@
 	"rackstep.dev/upkeep"
 )
 
-// Figures of the pools' sizes; the rounds that chose them are in docs/design/pools.md.
+// Parameters of pool sizing. The trials behind the values are recorded in docs/design/pools.md.
 const (
-	// keepFor is how long a pool keeps what it lately needed from other pools that need it.
-	keepFor = 500 * time.Millisecond
-	// idleFor is how long an instance is not needed before it is parked: the next pool may need it soon.
-	idleFor = 2 * time.Second
-	// unknownFor is how long instances of a pool that had no load yet are not parked.
-	unknownFor = 30 * time.Second
-	// unknownMargin is how many times what the other pools' turns used a pool keeps whose turn is not known, turnsDiffer what a pool keeps beyond
-	// what its last turn used.
-	unknownMargin = 1.5
-	turnsDiffer   = 0.15
-	// spareShare is what a pool keeps beyond its need, since tasks do not pack without gaps.
+	// recentNeedWindow is the period whose peak need a pool may keep even if other pools need instances.
+	recentNeedWindow = 500 * time.Millisecond
+	// parkAfter is how long an instance must have been unneeded before it is parked: the next pool may need it soon.
+	parkAfter = 2 * time.Second
+	// unknownLoadGrace is the time after a leader's start during which pools whose load is not known yet keep their instances.
+	unknownLoadGrace = 30 * time.Second
+	// unknownMargin and busyPeriodMargin size the reserve of a pool for its next busy period. A pool whose busy periods are not known keeps
+	// unknownMargin times the mean usage of the other pools; busyPeriodMargin is added to the usage of the last busy period.
+	unknownMargin    = 1.5
+	busyPeriodMargin = 0.15
+	// spareShare is added to the need of a pool, because tasks do not fill instances completely.
 	spareShare = 0.08
-	// spareInstances is the least that a pool keeps idle for what comes next.
+	// spareInstances is the minimum number of instances a pool keeps idle for work to come.
 	spareInstances = 1
-	// rateOver is the time over which the work handed in is summed up: a pool must grow before its backlog has.
-	rateOver = time.Second
-	// rateLeast bounds the time to which a few jobs in a row are related.
-	rateLeast = 250 * time.Millisecond
-	// arrives is how long a move takes beyond the platform's time for it, until the first start.
-	arrives = 150 * time.Millisecond
-	// clearIn is the time in which a backlog is to be worked off once the instances have arrived.
-	clearIn = time.Second
-	// suspectsIn is the time in which waiting suspects are to be tried.
-	suspectsIn = 2 * time.Second
-	// leftOfRuns is the part of their time that runs still have before them, on the average.
-	leftOfRuns = 0.5
-	// firstRun is how long runs are taken to be before any has ended, in seconds.
-	firstRun = 1.0
-	// soonShare is the part of an expected turn's need that is got ready before it: the rest comes in time by itself.
-	soonShare = 0.75
+	// rateWindow is the period over which the rate of submitted work is measured: a pool has to grow before its backlog does.
+	rateWindow = time.Second
+	// minRateWindow is the minimum period used to compute the rate of a few jobs in a row.
+	minRateWindow = 250 * time.Millisecond
+	// moveOverhead is the time from the end of a move, as stated by the platform, until the first start on the instance.
+	moveOverhead = 150 * time.Millisecond
+	// backlogClearTime is the time within which a backlog should be processed once the instances have arrived.
+	backlogClearTime = time.Second
+	// suspectTrialTime is the time within which waiting suspects should have been tried.
+	suspectTrialTime = 2 * time.Second
+	// meanRemainingShare is the mean share of its run time that an active run still has ahead.
+	meanRemainingShare = 0.5
+	// defaultRunSeconds is the run time assumed before any run has ended.
+	defaultRunSeconds = 1.0
+	// preparedShare is the share of the need of an expected busy period that is prepared in advance. The rest arrives in time without preparation.
+	preparedShare = 0.75
 )
 
-// need is a pool's need at one time, in instances.
+// needSample is the number of instances that a pool needed at a point in time.
 type need struct {
 	at        time.Time
 	instances float64
 }
 
-// handed is work that was handed in at one time, in instance-seconds.
+// submission is work that was submitted at a point in time, in instance-seconds.
 type handed struct {
 	at   time.Time
 	work float64
 }
 
-// load is what a pool's workers do, in instances.
+// load describes the work of a pool, in units of instances.
 type load struct {
-	// lasting is held by tasks that last, running by others.
+	// lasting is the capacity used by long-running tasks, running the capacity used by all other tasks.
 	lasting, running float64
-	// waitingWork is what tasks bring that wait, in instance-seconds, waitingRoom what they take if all of them run at once.
-	waitingWork, waitingRoom float64
-	// suspects are the waiting tasks that may end their worker's life, which are tried apart.
+	// waitingWork is the work of the waiting tasks in instance-seconds. waitingCapacity is the capacity that they would use if all of them ran at
+	// once.
+	waitingWork, waitingCapacity float64
+	// suspects is the number of waiting tasks that may have crashed their worker and are therefore tried in isolation.
 	suspects int
-	// able is for how long its instances will serve it, together, in the time that a move takes, in instance-seconds.
-	able float64
+	// availableSeconds is the total time for which the pool's instances will serve it during the duration of a move, in instance-seconds.
+	availableSeconds float64
 }
 
-// share returns which part of an instance a task takes.
-func share(n, whole job.Need) float64 {
-	if whole.MilliCPU == 0 || whole.MemoryMB == 0 {
+// instanceShare returns the share of an instance that a task uses.
+func share(need, instance job.Need) float64 {
+	if instance.MilliCPU == 0 || instance.MemoryMB == 0 {
 		return 0
 	}
-	return max(float64(n.MilliCPU)/float64(whole.MilliCPU), float64(n.MemoryMB)/float64(whole.MemoryMB))
+	return max(float64(need.MilliCPU)/float64(instance.MilliCPU), float64(need.MemoryMB)/float64(instance.MemoryMB))
 }
 
-// wholeInstance returns the mean room of an instance.
-func (c *session) wholeInstance() job.Need {
+// meanInstance returns the mean capacity of an instance.
+func (c *session) meanInstance() job.Need {
 	var sum job.Need
 	n := 0
 	for _, w := range c.workers {
@@ -94,10 +95,10 @@
 	return job.Need{MilliCPU: sum.MilliCPU / n, MemoryMB: sum.MemoryMB / n}
 }
 
-// countLoads works out what each pool's workers do and what waits for them.
+// countLoads recomputes the load of each pool from its workers and its waiting tasks.
 func (c *session) countLoads() {
-	whole := c.wholeInstance()
-	c.whole = whole
+	instance := c.meanInstance()
+	c.whole = instance
 	for _, p := range c.pools {
 		p.load = load{}
 	}
@@ -106,19 +107,19 @@
 		used := job.Need{MilliCPU: w.Room.MilliCPU - w.room.Free.MilliCPU, MemoryMB: w.Room.MemoryMB - w.room.Free.MemoryMB}
 		var lasting job.Need
 		if w.room.Serving+w.room.Filling > 0 {
-			lasting = lastingOn(w)
+			lasting = longRunningNeed(w)
 		}
-		p.load.lasting += share(lasting, whole)
+		p.load.lasting += share(lasting, instance)
 		used.MilliCPU -= lasting.MilliCPU
 		used.MemoryMB -= lasting.MemoryMB
-		p.load.running += share(used, whole)
+		p.load.running += share(used, instance)
 	}
 	for _, p := range c.pools {
-		c.countWaiting(p, whole)
+		c.countWaiting(p, instance)
 	}
 }
 
-func lastingOn(w *worker) job.Need {
+func longRunningNeed(w *worker) job.Need {
 	var sum job.Need
 	for t := range w.runs {
 		if t.Spec().Lasting {
@@ -130,17 +131,17 @@
 	return sum
 }
 
-func (c *session) countWaiting(p *poolRow, whole job.Need) {
-	blocked := c.blocked(p.name)
+func (c *session) countWaiting(p *poolRow, instance job.Need) {
+	blocked := c.hasUnansweredWorkers(p.name)
 	for _, g := range p.open {
 		if blocked && c.restored[g.Job.Spec.ID] {
-			continue // its instances would stand idle
+			continue // its tasks can't start yet, so that instances for them would be idle
 		}
 		if g.Capped || g.Beyond {
-			continue // no instance would help the one, and nobody owes the other one
+			continue // more instances don't help a capped group, and a group over its rate limit is entitled to none
 		}
 		step := &g.Job.Spec.Steps[g.Step]
-		each := share(place.Charge(step), whole)
+		each := share(place.Charge(step), instance)
 		n := 0
 		for _, t := range g.Tasks {
 			switch {
@@ -155,20 +156,20 @@
 			p.load.lasting += float64(n) * each
 			continue
 		}
-		p.load.waitingRoom += float64(n) * each
+		p.load.waitingCapacity += float64(n) * each
 		p.load.waitingWork += float64(n) * each * c.runTime(step, g.Job.Spec.Queue).Seconds()
 	}
 }
 
-// rate returns the instance-seconds handed in to the pool in a second, of late.
+// rate returns the work recently submitted to the pool, in instance-seconds per second.
 //
-// It is the mean over rateOver, or the mean over a shorter time if that is surely more: jobs differ, so that a few large
-// ones that come together mean little.
+// It is the mean over rateWindow, or the mean over a shorter period if that is significantly higher. Job sizes vary, so a few large jobs that arrive
+// together are weak evidence of a higher rate.
 func (p *poolRow) rate(now time.Time) float64 {
-	for len(p.handed) > 0 && now.Sub(p.handed[0].at) > rateOver {
+	for len(p.handed) > 0 && now.Sub(p.handed[0].at) > rateWindow {
 		p.handed = p.handed[1:]
 	}
-	sum, squares, most := 0.0, 0.0, 0.0
+	sum, squares, highest := 0.0, 0.0, 0.0
 	for i := len(p.handed) - 1; i >= 0; i-- {
 		w := p.handed[i].work
 		sum += w
@@ -176,76 +177,79 @@
 		if sum == 0 {
 			continue
 		}
-		span := max(now.Sub(p.handed[i].at), rateLeast)
-		spread := math.Sqrt(squares) / sum // of the sum, relative to it
-		most = max(most, sum/span.Seconds()*(1-spread))
+		span := max(now.Sub(p.handed[i].at), minRateWindow)
+		relativeError := math.Sqrt(squares) / sum // relative standard error of the sum
+		highest = max(highest, sum/span.Seconds()*(1-relativeError))
 	}
-	return max(most, sum/rateOver.Seconds())
+	return max(highest, sum/rateWindow.Seconds())
 }
 
-// demand returns how many instances the pool needs by the time that a move begun now has brought one.
+// demand returns the number of instances the pool needs at the time when a move started now would deliver one.
 //
-// What runs and waits now is worked off meanwhile as far as the pool's instances reach; what is left then, and what
-// comes in as it does now, is what more instances are for. It is never more than the tasks could use that run, wait and come
-// until then: no instance runs a part of a task.
+// Until then, the existing instances process active and waiting work as far as their capacity allows. Additional instances are needed for the
+// remaining work and for new work at the current rate. The result never exceeds the capacity that the active, waiting and expected tasks can use,
+// because a task can't be split over instances.
 func (c *session) demand(p *poolRow, now time.Time) float64 {
 	l := &p.load
-	ahead := (c.Bounds().Move + arrives).Seconds()
+	horizon := (c.Bounds().Move + moveOverhead).Seconds()
 	rate := p.rate(now)
-	work := l.running*p.meanRun()*leftOfRuns + l.waitingWork + rate*ahead
-	left := work - max(l.able-l.lasting*ahead, 0)
-	usable := l.running + l.waitingRoom + rate*max(1, ahead/p.meanRun())
-	return l.lasting + l.apart() + min(rate+max(left, 0)/clearIn.Seconds(), usable)
+	expectedWork := l.running*p.meanRun()*meanRemainingShare + l.waitingWork + rate*horizon
+	remaining := expectedWork - max(l.availableSeconds-l.lasting*horizon, 0)
+	usableInstances := l.running + l.waitingCapacity + rate*max(1, horizon/p.meanRun())
+	return l.lasting + l.trialInstances() + min(rate+max(remaining, 0)/backlogClearTime.Seconds(), usableInstances)
 }
 
-// apart returns how many instances the suspects need: one for each trial, and those beside it on which no other may be tried at the same time. Their own work asks
-// for next to nothing, and a pool that is sized by it alone tries them one by one.
-func (l *load) apart() float64 {
-	trials := float64(l.suspects) * trialLeast.Seconds() / suspectsIn.Seconds()
+// trialInstances returns the number of instances needed to try the suspects: one for each trial, and the workers beside it on which no other suspect
+// may be tried at the same time. The suspects' own work is negligible, so a pool sized by their work alone would try them one by one.
+func (l *load) trialInstances() float64 {
+	trials := float64(l.suspects) * trialLeast.Seconds() / suspectTrialTime.Seconds()
 	return min(trials, float64(l.suspects)) / trialShare
 }
 
-// able returns how long of the time that a move takes an instance serves its pool.
-func (c *session) able(machine string, now time.Time) float64 {
-	ahead := c.Bounds().Move + arrives
-	s := c.moves[machine]
+// availableSeconds returns for how long an instance serves its pool within the duration of a move: all of it, the time since its own move ended, or
+// none while its move has not completed.
+func (c *session) availableSeconds(machine string, now time.Time) float64 {
+	horizon := c.Bounds().Move + moveOverhead
+	move := c.moves[machine]
 	switch {
-	case s == nil:
-		return ahead.Seconds()
-	case s.moved:
-		return min(now.Sub(s.since), ahead).Seconds()
+	case move == nil:
+		return horizon.Seconds()
+	case move.moved:
+		return min(now.Sub(move.since), horizon).Seconds()
 	}
 	return 0
 }
 
-// wants sets what the pool wants now, and what it keeps because it lately needed it.
-func (c *session) wants(row *upkeep.Pool, now time.Time) {
+// setTargets sets the number of instances that the pool wants now, and the numbers that it keeps because of its recent need.
+func (c *session) setTargets(row *upkeep.Pool, now time.Time) {
 	p := c.pool(row.Name)
 	instances := c.demand(p, now)
 	c.turns.See(p.name, upkeep.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
 	p.needs = append(p.needs, need{at: now, instances: max(instances, p.load.lasting+p.load.running)})
-	for len(p.needs) > 0 && now.Sub(p.needs[0].at) > idleFor {
+	for len(p.needs) > 0 && now.Sub(p.needs[0].at) > parkAfter {
 		p.needs = p.needs[1:]
 	}
-	lately, most := 0.0, 0.0
+	recent, peak := 0.0, 0.0
 	for _, n := range p.needs {
-		most = max(most, n.instances)
-		if now.Sub(n.at) <= keepFor {
-			lately = max(lately, n.instances)
+		peak = max(peak, n.instances)
+		if now.Sub(n.at) <= recentNeedWindow {
+			recent = max(recent, n.instances)
 		}
 	}
 	row.Want = instances*(1+spareShare) + spareInstances
-	row.Keep = lately*(1+spareShare) + spareInstances
-	row.Idle = most*(1+spareShare) + spareInstances
-	if c.turns.Fresh(p.name) && now.Sub(c.began) < unknownFor {
+	row.Keep = recent*(1+spareShare) + spareInstances
+	row.Idle = peak*(1+spareShare) + spareInstances
+	if c.turns.Fresh(p.name) && now.Sub(c.began) < unknownLoadGrace {
 		row.Idle = float64(row.Have)
 	}
 }
 
-// keepTurns has each pool keep what its turn has at work, and no more, if there are instances for the turns of all pools at once: then no turn has to
-// wait for instances of another pool, and they need not go round. A pool whose turn is not known yet keeps unknownMargin times what others used. With
-// fewer instances they go round as the turns do, which wants and expect decide.
-func (c *session) keepTurns(rows map[string]*upkeep.Pool, now time.Time) {
+// retainForBusyPeriods lets each pool keep the instances that its last busy period used, if there are enough instances for the busy periods of all
+// pools at once. Then no pool has to wait for instances of another one, and instances need not move with the load. A pool whose busy periods are not
+// known yet keeps unknownMargin times the mean usage of the others.
+//
+// With fewer instances this function changes nothing, and setTargets and setExpected move the instances with the load.
+func (c *session) retainForBusyPeriods(rows map[string]*upkeep.Pool, now time.Time) {
 	keep := make(map[string]float64, len(rows))
 	needed, have := 0.0, 0
 	for name, row := range rows {
@@ -258,7 +262,7 @@
 			if !c.turns.Loaded(name) {
 				return
 			}
-			needed += max(float64(row.Have), row.Want) // it is at the first turn of all, and keeps what it has
+			needed += max(float64(row.Have), row.Want) // no pool has completed a busy period yet, so the pool keeps what it has
 			continue
 		}
 		if !known {
@@ -266,7 +270,7 @@
 		}
 		lasting := c.pool(name).load.lasting
 		needed += (lasting+need)*(1+spareShare) + spareInstances
-		keep[name] = (lasting+used*(1+turnsDiffer))*(1+spareShare) + spareInstances
+		keep[name] = (lasting+used*(1+busyPeriodMargin))*(1+spareShare) + spareInstances
 	}
 	if needed > float64(have) {
 		return
@@ -274,37 +278,37 @@
 	for name, n := range keep {
 		row := rows[name]
 		if c.turns.Fresh(name) {
-			row.Idle = 0 // not all that it has
+			row.Idle = 0 // replaces the default of keeping all its instances
 		}
 		row.Idle = max(row.Idle, n)
 	}
 }
 
-// expect sets what pools will want whose turn is about to come.
-func (c *session) expect(rows map[string]*upkeep.Pool, now time.Time) {
-	for _, e := range c.turns.Next(c.Bounds().Move+2*arrives, now) {
+// setExpected sets the future need of the pools that are expected to become busy next.
+func (c *session) setExpected(rows map[string]*upkeep.Pool, now time.Time) {
+	for _, e := range c.turns.Next(c.Bounds().Move+2*moveOverhead, now) {
 		if row := rows[e.Pool]; row != nil {
-			row.Soon = c.pool(e.Pool).load.lasting + soonShare*e.Need
+			row.Soon = c.pool(e.Pool).load.lasting + preparedShare*e.Need
 		}
 	}
 }
 
-// meanRun returns how long the pool's tasks run, in seconds.
+// meanRunSeconds returns the mean run time of the pool's tasks, in seconds.
 func (p *poolRow) meanRun() float64 {
 	if p.ran == 0 {
-		return firstRun
+		return defaultRunSeconds
 	}
 	return p.ran
 }
 
-// stuckAfter is how long a step's tasks wait before more of the instances that it may use are asked for.
+// stuckAfter is how long tasks of a step wait before the pool asks for more of the instances that may run them.
 const stuckAfter = 250 * time.Millisecond
 
-// lack sets how many instances each pool lacks for steps that may not use any instance with room: those that need a
-// label, and those of whose tasks a worker may run a few only.
-func (c *session) lack(rows map[string]*upkeep.Pool, instances []upkeep.Instance, now time.Time) {
+// setShortages sets how many instances each pool lacks for steps that can't use just any free capacity: steps that require a label, and steps with a
+// limit on tasks per worker.
+func (c *session) setShortages(rows map[string]*upkeep.Pool, instances []upkeep.Instance, now time.Time) {
 	for name, row := range rows {
-		lacks := c.lacks(c.pool(name), now)
+		lacks := c.shortages(c.pool(name), now)
 		if len(lacks) == 0 {
 			continue
 		}
@@ -312,7 +316,7 @@
 			if x.Pool != name || c.moves[x.Name] == nil {
 				continue
 			}
-			lacks[upkeep.AnyLabel]-- // it is on its way
+			lacks[upkeep.AnyLabel]-- // counts as available: it is moving to the pool
 			for _, l := range x.Labels {
 				lacks[l]--
 			}
@@ -321,39 +325,40 @@
 	}
 }
 
-// lacks returns, by label, how many more instances the pool's steps wait for that may not use any with room.
-func (c *session) lacks(p *poolRow, now time.Time) map[string]int {
+// shortages returns by label how many more instances the pool needs for waiting steps that can't use just any free capacity.
+func (c *session) shortages(p *poolRow, now time.Time) map[string]int {
 	lacks := make(map[string]int)
-	blocked := c.blocked(p.name)
+	blocked := c.hasUnansweredWorkers(p.name)
 	for _, g := range p.open {
 		step := &g.Job.Spec.Steps[g.Step]
 		if (step.Label == "" && step.PerWorker == 0) || now.Sub(g.Opened) < stuckAfter || g.Capped || g.Beyond || (blocked && c.restored[g.Job.Spec.ID]) {
 			continue
 		}
-		c.countGroup(g, step)
-		n := len(g.Tasks)
+		c.countPlacedTasks(g, step)
+		unplaced := len(g.Tasks)
 		for _, w := range c.workers {
 			if w.Pool == p.name && w.usable(now) {
-				n -= g.Fits(&w.room)
+				unplaced -= g.Fits(&w.room)
 			}
 		}
-		if n <= 0 {
+		if unplaced <= 0 {
 			continue
 		}
-		lacks[step.Label] = max(lacks[step.Label], g.Instances(n, c.whole))
+		lacks[step.Label] = max(lacks[step.Label], g.Instances(unplaced, c.whole))
 	}
-	c.countCaptive(p, lacks, now)
+	c.countStranded(p, lacks, now)
 	return lacks
 }
 
-// countCaptive adds an instance for each worker whose lasting tasks can't leave for its upkeep, or a drained data centre, for want of a place.
-func (c *session) countCaptive(p *poolRow, lacks map[string]int, now time.Time) {
+// countStranded requests at least one instance with the required label if a worker that must be emptied, for maintenance, a move or a drain, has a
+// long-running task that fits on no other worker.
+func (c *session) countStranded(p *poolRow, lacks map[string]int, now time.Time) {
 	for _, w := range c.workers {
 		if w.Pool != p.name || !(w.out || w.drained) || w.room.Serving+w.room.Filling == 0 {
 			continue
 		}
 		for t := range w.runs {
-			if t.Spec().Lasting && !t.Stopping && !c.hasPlace(t, now) {
+			if t.Spec().Lasting && !t.Stopping && !c.fitsElsewhere(t, now) {
 				lacks[t.Spec().Label] = max(lacks[t.Spec().Label], 1)
 				break
 			}
--- a/pool/demand_test.go
+++ b/pool/demand_test.go
@@ -43,25 +43,26 @@
 	}
 }
 
-// TestDemand: what runs and waits is worked off while an instance is on its way, as far as those that are there reach.
+// TestDemand checks that the need of a pool excludes the work that its instances, and those on their way, complete before a further instance could
+// arrive.
 func TestDemand(t *testing.T) {
 	const ahead = 1.65
 	for _, test := range [...]struct {
 		name     string
 		load     load
-		jobs     float64 // instance-seconds handed in just now
+		jobs     float64 // instance-seconds submitted just now
 		from, to float64
 	}{
-		{"nothing runs", load{able: 3 * ahead}, 0, 0, 0},
-		{"what lasts is needed", load{lasting: 2, able: 2 * ahead}, 0, 2, 2},
-		{"a short backlog goes by itself", load{running: 4, waitingWork: 4, waitingRoom: 4, able: 4 * ahead}, 0, 0, 0},
-		{"a long one does not", load{running: 4, waitingWork: 20, waitingRoom: 20, able: 4 * ahead}, 0, 15, 16},
-		{"instances on their way count in part", load{running: 4, waitingWork: 20, waitingRoom: 20, able: 4*ahead + 4*ahead/2}, 0, 12, 13},
-		{"what lasts works nothing off", load{lasting: 4, running: 4, waitingWork: 20, waitingRoom: 20, able: 4 * ahead}, 0, 25, 27},
-		{"no more than the tasks could use at once", load{running: 4, waitingWork: 20, waitingRoom: 10, able: 4 * ahead}, 0, 14, 14},
-		{"of long tasks half as many instances are of use", load{waitingWork: 20, waitingRoom: 10}, 0, 10, 10},
+		{"nothing runs", load{availableSeconds: 3 * ahead}, 0, 0, 0},
+		{"what lasts is needed", load{lasting: 2, availableSeconds: 2 * ahead}, 0, 2, 2},
+		{"a short backlog goes by itself", load{running: 4, waitingWork: 4, waitingCapacity: 4, availableSeconds: 4 * ahead}, 0, 0, 0},
+		{"a long one does not", load{running: 4, waitingWork: 20, waitingCapacity: 20, availableSeconds: 4 * ahead}, 0, 15, 16},
+		{"instances on their way count in part", load{running: 4, waitingWork: 20, waitingCapacity: 20, availableSeconds: 4*ahead + 4*ahead/2}, 0, 12, 13},
+		{"what lasts works nothing off", load{lasting: 4, running: 4, waitingWork: 20, waitingCapacity: 20, availableSeconds: 4 * ahead}, 0, 25, 27},
+		{"no more than the tasks could use at once", load{running: 4, waitingWork: 20, waitingCapacity: 10, availableSeconds: 4 * ahead}, 0, 14, 14},
+		{"of long tasks half as many instances are of use", load{waitingWork: 20, waitingCapacity: 10}, 0, 10, 10},
 		{"suspects need an instance each for their trials, and others beside it", load{suspects: 100}, 0, 45, 45},
-		{"what comes in is needed for good", load{able: 10 * ahead}, 6, 6, 6},
+		{"what comes in is needed for good", load{availableSeconds: 10 * ahead}, 6, 6, 6},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -84,20 +85,21 @@
 	b := newBench(c, nil)
 	b.SetBounds(Bounds{Move: 1500 * time.Millisecond})
 	now := time.Now()
-	c.Assert(b.able("there", now), quicktest.Equals, 1.65)
+	c.Assert(b.availableSeconds("there", now), quicktest.Equals, 1.65)
 	b.moves["emptied"] = &moveStep{since: now}
-	c.Assert(b.able("emptied", now), quicktest.Equals, 0.0)
+	c.Assert(b.availableSeconds("emptied", now), quicktest.Equals, 0.0)
 	b.moves["moved"] = &moveStep{moved: true, since: now.Add(-time.Second)}
-	c.Assert(b.able("moved", now), quicktest.Equals, 1.0)
+	c.Assert(b.availableSeconds("moved", now), quicktest.Equals, 1.0)
 }
 
-// TestWhatLastsWaitsForAPlaceBeforeAnUpkeep: its worker is emptied once another one can take it, or time is short.
+// TestWhatLastsWaitsForAPlaceBeforeAnUpkeep guards against a long-running task being stopped for maintenance while no other worker can take it. The
+// missing instance is requested, and the task is stopped once another worker fits.
 func TestWhatLastsWaitsForAPlaceBeforeAnUpkeep(t *testing.T) {
 	c := quicktest.New(t)
 	j := one(1)
 	j.Spec.Steps[0] = job.Step{Count: 1, Need: job.Need{MilliCPU: 1000}, Lasting: true, MayMiss: 1, Label: "red"}
 	b := newBench(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
-	b.aloneFrom = time.Now().Add(-time.Minute) // what an earlier leader had told to stop has stopped
+	b.aloneFrom = time.Now().Add(-time.Minute) // the stops that an earlier leader ordered are complete
 	b.workers["w1"].Labels = []string{"red"}
 	for _, life := range []string{"w1", "w2"} {
 		b.reports(life, 10, nil)
@@ -105,16 +107,17 @@
 	c.Assert(b.ordered(), quicktest.Equals, 1)
 	b.reports("w1", 20, []work.Row{{Task: taskName, Run: b.task(0).Run, Percent: fullPercent}})
 	now := time.Now()
-	s := &upkeepStep{life: "w1", since: now}
-	c.Assert(b.emptied("m-w1", s, now), quicktest.IsFalse)
+	s := &maintenanceStep{life: "w1", since: now}
+	c.Assert(b.tryEmpty("m-w1", s, now), quicktest.IsFalse)
 	c.Assert(b.task(0).Stopping, quicktest.IsFalse)
-	c.Assert(b.lacks(b.pool("p"), now)["red"], quicktest.Equals, 1)
+	c.Assert(b.shortages(b.pool("p"), now)["red"], quicktest.Equals, 1)
 	b.workers["w2"].Labels = []string{"red"}
-	b.emptied("m-w1", s, now)
+	b.tryEmpty("m-w1", s, now)
 	c.Assert(b.task(0).Stopping, quicktest.IsTrue)
 }
 
-// TestAStepThatNeedsSeveralWorkersAsksForInstances: room alone does not tell that its tasks can't be placed.
+// TestAStepThatNeedsSeveralWorkersAsksForInstances guards against tasks waiting forever because the pool has free capacity, none of which a step with
+// a label or a limit of tasks per worker may use.
 func TestAStepThatNeedsSeveralWorkersAsksForInstances(t *testing.T) {
 	for _, test := range [...]struct {
 		name  string
@@ -138,21 +141,21 @@
 				b.reports(life, 10, nil)
 			}
 			b.countLoads()
-			c.Assert(fmt.Sprint(b.lacks(b.pool("p"), time.Now())), quicktest.Equals, "map[]") // it may still be placed
-			c.Assert(fmt.Sprint(b.lacks(b.pool("p"), time.Now().Add(stuckAfter))), quicktest.Equals, test.lacks)
+			c.Assert(fmt.Sprint(b.shortages(b.pool("p"), time.Now())), quicktest.Equals, "map[]") // no shortage before stuckAfter
+			c.Assert(fmt.Sprint(b.shortages(b.pool("p"), time.Now().Add(stuckAfter))), quicktest.Equals, test.lacks)
 		})
 	}
 }
 
-// TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem: with many times the room that is needed most instances leave their pools once and stay
-// away, and none goes to and fro; with less than all turns need, what decided before decides.
+// TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem guards against instances moving back and forth between pools although there are enough for
+// the busy periods of all pools. With fewer instances the targets must stay as they were.
 func TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem(t *testing.T) {
 	const turn = 100.0
-	keep, need := math.Ceil(turn*(1+turnsDiffer)*(1+spareShare)+spareInstances), math.Ceil(2*turn*(1+spareShare)+spareInstances)
+	keep, need := math.Ceil(turn*(1+busyPeriodMargin)*(1+spareShare)+spareInstances), math.Ceil(2*turn*(1+spareShare)+spareInstances)
 	for _, test := range [...]struct {
 		name string
 		have int
-		// over are the pools whose first turn is over, of three.
+		// over is the number of pools, of three, whose first busy period has ended.
 		over int
 		idle float64
 		want float64
@@ -161,7 +164,7 @@
 		{"just enough", int(need), 3, 2, keep},
 		{"less than all need", int(need) - 1, 3, 2, 2},
 		{"what it lately needed goes before", 1000, 3, 300, 300},
-		{"a turn that is not known yet", 1000, 1, 0, math.Ceil(unknownMargin*turn*(1+turnsDiffer)*(1+spareShare) + spareInstances)},
+		{"a turn that is not known yet", 1000, 1, 0, math.Ceil(unknownMargin*turn*(1+busyPeriodMargin)*(1+spareShare) + spareInstances)},
 		{"no turn is over", 1000, 0, 5, 5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -176,7 +179,7 @@
 					*b.turns.Pools[name] = upkeep.Turn{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
 				}
 			}
-			b.keepTurns(rows, time.Now())
+			b.retainForBusyPeriods(rows, time.Now())
 			b.c.Assert(math.Ceil(rows["p2"].Idle), quicktest.Equals, test.want)
 		})
 	}
--- a/pool/drain.go
+++ b/pool/drain.go
@@ -13,22 +13,22 @@
 	"rackstep.dev/job"
 )
 
-// drains are the data centres that the operator has drained: their instances get no work until that is taken back. A drain belongs to the data
-// centre and not to its instances, so one that is listed there later is under it too.
-type drains map[string]*drainRow
+// drains holds the data centres drained by the operator, by name. Their instances get no new work until the drain is revoked. A drain applies to the
+// data centre, not to its current instances: an instance that is listed there later is drained too.
+type drains map[string]*drainState
 
-// drainRow is a row of the table of drained data centres.
-type drainRow struct {
-	// since is when this leader learned of it.
+// drainState is the state of a drained data centre.
+type drainState struct {
+	// since is the time at which this leader learned of the drain.
 	since time.Time
-	// told is what the log last said of what is left there, at toldAt.
-	told   string
-	toldAt time.Time
-	// empty says that nothing was left there when it was last looked at.
+	// loggedText is the remainder that was logged last, at loggedAt.
+	loggedText string
+	loggedAt   time.Time
+	// empty means that nothing was left there at the last check.
 	empty bool
 }
 
-// SetDrains takes the data centres that are drained, all of them; it is called before SetCatalog, and whenever they change.
+// SetDrains sets the complete list of drained data centres. It is called before SetCatalog and after each change.
 func (s *Scheduler) SetDrains(centres []string) {
 	centres = slices.Sorted(slices.Values(centres))
 	s.mu.Lock()
@@ -39,14 +39,15 @@
 	}
 }
 
-// drainsChanged puts drains in force: from here on no start leaves for an instance there, planned ones included.
+// drainsChanged applies a new list of drained data centres. From then on no start is sent to an instance there, including starts that are already
+// planned.
 type drainsChanged struct{ centres []string }
 
 func (m drainsChanged) apply(c *session) {
 	now := c.now()
 	for _, name := range m.centres {
 		if c.drains[name] == nil {
-			c.drains[name] = &drainRow{since: now}
+			c.drains[name] = &drainState{since: now}
 			c.emit(event.DrainChanged, event.Subject{Entry: c.Entry}, "datacentre=%s state=begun", name)
 		}
 	}
@@ -62,21 +63,21 @@
 	c.dirtyAll()
 }
 
-// drainLeft counts what is left in a drained data centre.
-type drainLeft struct {
+// drainRemainder counts what is left in a drained data centre.
+type drainRemainder struct {
 	workers, runs, lasting int
-	// held are the lasting tasks that can't leave yet, by the reason.
+	// held counts the long-running tasks that can't be moved yet, by reason.
 	held map[string]int
 }
 
-// Reasons for which a lasting task stays in a drained data centre for now.
+// Reasons why a long-running task can't be moved out of a drained data centre yet. They are logged.
 const (
-	heldByOthers = "others-of-its-step-are-away"
-	heldByPlace  = "no-place-elsewhere"
+	heldByOthersAway = "others-of-its-step-are-away"
+	heldByNoPlace    = "no-place-elsewhere"
 )
 
-// String returns what is left, for the log.
-func (l *drainLeft) String() string {
+// String formats the remainder for the log.
+func (l *drainRemainder) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "workers=%d runs=%d lasting=%d", l.workers, l.runs, l.lasting)
 	for _, why := range slices.Sorted(maps.Keys(l.held)) {
@@ -85,15 +86,15 @@
 	return b.String()
 }
 
-// emptyDrained takes lasting tasks out of the drained data centres, as fast as others of their steps may be missed and as there are places
-// for them; tasks that end are left to. It tells what is left whenever that changes.
+// evacuateDrained moves long-running tasks out of the drained data centres, as fast as their steps may miss tasks and other workers have capacity for
+// them. All other tasks are left to end. It logs the remainder when it changes.
 func (c *session) emptyDrained(now time.Time) {
 	if len(c.drains) == 0 {
 		return
 	}
-	left := make(map[string]*drainLeft, len(c.drains))
+	left := make(map[string]*drainRemainder, len(c.drains))
 	for name := range c.drains {
-		left[name] = &drainLeft{held: make(map[string]int)}
+		left[name] = &drainRemainder{held: make(map[string]int)}
 	}
 	for _, w := range c.workers {
 		if !w.drained || c.drains[w.DataCentre] == nil {
@@ -105,41 +106,41 @@
 			l.runs++
 			if t.Spec().Lasting {
 				l.lasting++
-				c.takeOutOfDrain(w, t, l, now)
+				c.evacuateTask(w, t, l, now)
 			}
 		}
 	}
 	for name, row := range c.drains {
-		c.tellDrain(name, row, left[name], now)
+		c.logDrain(name, row, left[name], now)
 	}
 }
 
-// takeOutOfDrain stops a lasting task so that it starts elsewhere, or notes what holds it.
-func (c *session) takeOutOfDrain(w *worker, t *job.Task, l *drainLeft, now time.Time) {
+// evacuateTask stops a long-running task so that it starts elsewhere, or counts the reason why it can't be stopped yet.
+func (c *session) evacuateTask(w *worker, t *job.Task, l *drainRemainder, now time.Time) {
 	switch {
 	case t.Stopping || !w.silentSince.IsZero():
 	case !c.mayTakeAway(t, now):
-		l.held[heldByOthers]++
-	case !c.hasPlace(t, now):
-		l.held[heldByPlace]++
+		l.held[heldByOthersAway]++
+	case !c.fitsElsewhere(t, now):
+		l.held[heldByNoPlace]++
 	default:
 		c.stopTask(w, t, "its data centre is drained")
 	}
 }
 
-// drainToldEvery bounds how often it is told what is left of a drain; when nothing is left that is told at once.
-const drainToldEvery = time.Second
+// drainLogInterval is the minimum interval between two log lines about a drain. The line that nothing is left is logged at once.
+const drainLogInterval = time.Second
 
-// tellDrain tells what is left of a drain when that has changed, and when nothing is.
-func (c *session) tellDrain(name string, row *drainRow, l *drainLeft, now time.Time) {
-	c.counts.drainLeft(name, l.runs)
+// logDrain updates the metric of a drain and logs the remainder when it has changed or has become empty.
+func (c *session) logDrain(name string, row *drainState, l *drainRemainder, now time.Time) {
+	c.counts.drainRemaining(name, l.runs)
 	text := l.String()
-	was := row.empty
+	wasEmpty := row.empty
 	row.empty = l.runs == 0
-	if text == row.told || (row.empty == was && now.Sub(row.toldAt) < drainToldEvery) {
+	if text == row.loggedText || (row.empty == wasEmpty && now.Sub(row.loggedAt) < drainLogInterval) {
 		return
 	}
-	row.told, row.toldAt = text, now
+	row.loggedText, row.loggedAt = text, now
 	state := "emptying"
 	if row.empty {
 		state = "empty"
--- a/pool/drain_test.go
+++ b/pool/drain_test.go
@@ -17,8 +17,8 @@
 	"rackstep.dev/work"
 )
 
-// drainBench is a leader with workers in the data centre that their name begins with.
-func drainBench(c *quicktest.C, jobs []*job.Job, lives ...string) *bench {
+// newDrainBench returns a leader whose workers are in the data centre named by their first letter.
+func newDrainBench(c *quicktest.C, jobs []*job.Job, lives ...string) *bench {
 	b := newBench(c, jobs, lives...)
 	b.ParseWorker = func(life string, _ []byte) (work.Worker, error) {
 		return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", DataCentre: life[:1], Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
@@ -33,7 +33,7 @@
 	return b
 }
 
-// starts returns on how many workers of each data centre tasks were placed.
+// startsIn returns the number of planned starts in each data centre.
 func (b *bench) startsIn() map[string]int {
 	in := make(map[string]int)
 	for _, p := range b.planned {
@@ -55,7 +55,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := drainBench(c, []*job.Job{one(6)}, "a1", "b1")
+			b := newDrainBench(c, []*job.Job{one(6)}, "a1", "b1")
 			drainsChanged{x.drained}.apply(b.session)
 			b.ordered()
 			c.Assert(len(b.startsIn()), quicktest.Equals, len(x.want))
@@ -66,11 +66,12 @@
 	}
 }
 
-// TestAStartThatWasPlannedBeforeADrainDoesNotLeave has the drain come between the decision and the answer that the run is kept.
+// TestAStartThatWasPlannedBeforeADrainDoesNotLeave guards against sending a planned start after the data centre is drained: the drain arrives between
+// the placement decision and the confirmation that the run is stored.
 func TestAStartThatWasPlannedBeforeADrainDoesNotLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := drainBench(c, []*job.Job{one(1)}, "a1")
+		b := newDrainBench(c, []*job.Job{one(1)}, "a1")
 		started := 0
 		b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 			started++
@@ -86,10 +87,11 @@
 	})
 }
 
-// TestADrainIsOfTheDataCentreAndOutlivesItsLeader has workers be listed there later, and the next leader know before its first start.
+// TestADrainIsOfTheDataCentreAndOutlivesItsLeader checks that workers listed after the drain are drained too, and that the next leader knows of the
+// drain before its first start.
 func TestADrainIsOfTheDataCentreAndOutlivesItsLeader(t *testing.T) {
 	c := quicktest.New(t)
-	b := drainBench(c, []*job.Job{one(1)}, "b1")
+	b := newDrainBench(c, []*job.Job{one(1)}, "b1")
 	drainsChanged{[]string{"a"}}.apply(b.session)
 	c.Assert(b.listWorker("a9", []byte{1}).drained, quicktest.IsTrue)
 	b.Scheduler.SetDrains([]string{"b"})
@@ -97,12 +99,13 @@
 	c.Assert(next.drains["b"], quicktest.IsNotNil)
 }
 
-// TestLastingTasksLeaveADrainedDataCentreAsFastAsTheyMayBeMissed has four of a step there that may miss one, and then room elsewhere for three.
+// TestLastingTasksLeaveADrainedDataCentreAsFastAsTheyMayBeMissed guards against a drain stopping more tasks of a step than it may miss: four
+// long-running tasks of a step that may miss one have to move.
 func TestLastingTasksLeaveADrainedDataCentreAsFastAsTheyMayBeMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 4, Lasting: true, MayMiss: 1, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
-		b := drainBench(c, []*job.Job{j}, "a1", "b1")
+		b := newDrainBench(c, []*job.Job{j}, "a1", "b1")
 		b.term.Number = 1
 		b.aloneFrom = time.Now()
 		b.Machines.Move = func(context.Context, string, string, int64) error { return nil }
@@ -143,11 +146,11 @@
 	})
 }
 
-// TestRoomThatADrainTakesIsBoughtElsewhere has a pool all of whose instances stand in the data centre that is drained.
+// TestRoomThatADrainTakesIsBoughtElsewhere checks that a pool whose instances are all drained gets instances in another data centre.
 func TestRoomThatADrainTakesIsBoughtElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := drainBench(c, nil, "a1", "a2")
+		b := newDrainBench(c, nil, "a1", "a2")
 		b.config.Pools = map[string]job.Pool{"p": {}, "spare": {Headroom: true}}
 		for _, name := range []string{"a-off", "b-off"} {
 			b.machines[name] = Machine{Name: name, Pool: "spare", DataCentre: name[:1]}
@@ -167,15 +170,16 @@
 	})
 }
 
-// TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre has a lasting task whose pool has no other instance.
+// TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre checks that an instance is requested for a long-running task in a drained data centre whose
+// pool has no other instance.
 func TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre(t *testing.T) {
 	c := quicktest.New(t)
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Lasting: true, MayMiss: 1, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
-	b := drainBench(c, []*job.Job{j}, "a1")
+	b := newDrainBench(c, []*job.Job{j}, "a1")
 	task := b.task(0)
 	task.Phase, task.Run, task.Worker, task.AtWork = job.Active, 1, "a1", true
 	b.addRun(b.workers["a1"], task, &run{number: 1, sent: true, confirmed: 10})
-	c.Assert(b.lacks(b.pool("p"), time.Now()), quicktest.HasLen, 0)
+	c.Assert(b.shortages(b.pool("p"), time.Now()), quicktest.HasLen, 0)
 	drainsChanged{[]string{"a"}}.apply(b.session)
-	c.Assert(b.lacks(b.pool("p"), time.Now())[""], quicktest.Equals, 1)
+	c.Assert(b.shortages(b.pool("p"), time.Now())[""], quicktest.Equals, 1)
 }
--- a/pool/latency.go
+++ b/pool/latency.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// latency tells how long goroutines of this process lately waited for the processor. The zero value has seen nothing.
+// schedLatency measures how long goroutines of this process wait for the processor. The zero value is ready for use.
 type latency struct {
-	sample [1]runtimemetrics.Sample
-	before []uint64
+	sample   [1]runtimemetrics.Sample
+	previous []uint64
 }
 
-// latencyMetric is the runtime's histogram of the time that goroutines wait between being ready and running, in seconds.
-const latencyMetric = "/sched/latencies:seconds"
+// schedLatencyMetric is the runtime's histogram of the time between a goroutine becoming runnable and running, in seconds.
+const schedLatencyMetric = "/sched/latencies:seconds"
 
-// since returns the wait that a part of all waits since the last call were under; 0 with none.
-func (l *latency) since(part float64) time.Duration {
-	l.sample[0].Name = latencyMetric
+// quantile returns the given quantile of the waits since the last call, or 0 if there were none.
+func (l *latency) since(q float64) time.Duration {
+	l.sample[0].Name = schedLatencyMetric
 	runtimemetrics.Read(l.sample[:])
 	if l.sample[0].Value.Kind() != runtimemetrics.KindFloat64Histogram {
-		return 0 // a runtime without it
+		return 0 // not supported by this runtime
 	}
 	h := l.sample[0].Value.Float64Histogram()
 	total := uint64(0)
-	news := make([]uint64, len(h.Counts))
+	delta := make([]uint64, len(h.Counts))
 	for i, n := range h.Counts {
-		news[i] = n
-		if i < len(l.before) {
-			news[i] -= l.before[i]
+		delta[i] = n
+		if i < len(l.previous) {
+			delta[i] -= l.previous[i]
 		}
-		total += news[i]
+		total += delta[i]
 	}
-	l.before = append(l.before[:0], h.Counts...)
-	under := uint64(part * float64(total))
-	for i, n := range news {
-		if n > under && total > 0 {
-			return time.Duration(h.Buckets[i] * float64(time.Second)) // the bucket's lower bound, which is never infinite here
+	l.previous = append(l.previous[:0], h.Counts...)
+	below := uint64(q * float64(total))
+	for i, n := range delta {
+		if n > below && total > 0 {
+			return time.Duration(h.Buckets[i] * float64(time.Second)) // the bucket's lower bound; it is not infinite, because waits are not negative
 		}
-		under -= min(n, under)
+		below -= min(n, below)
 	}
 	return 0
 }
--- a/pool/metrics.go
+++ b/pool/metrics.go
@@ -8,27 +8,27 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the scheduler's counters and histograms; they live as long as the process.
+// metrics holds the scheduler's counters and histograms. They live as long as the process.
 type metrics struct {
 	scope                    tally.Scope
 	jobs, firstStarts, batch tally.Histogram
 	ordered, lost, moves     tally.Counter
-	// runsLost are the runs whose worker's life ended under them, givenUp the jobs that were given up for it.
+	// runsLost counts the runs whose worker incarnation ended while it had them, givenUp the jobs that were given up because of that.
 	runsLost, givenUp    tally.Counter
 	upkeeps, looseStarts tally.Counter
-	// capped counts the steps that began to wait for their organisation's cap.
+	// capped counts how often a step began to wait for the cap of its organisation.
 	capped tally.Counter
-	// silent are the workers that do not answer, doubted the runs that are or may be on them.
+	// silentWorkers is the number of workers that do not answer, uncertainRuns the number of runs that are or may be on them.
 	silent, doubted tally.Gauge
-	// reborn counts the workers that began anew under the ID that they had.
+	// restartedWorkers counts the workers that restarted under the same ID.
 	reborn tally.Counter
-	// aside counts the records that the store never takes.
+	// rejectedRecords counts the records that the store permanently rejects.
 	aside tally.Counter
-	// misread are the entries of the list of workers that name none.
+	// unreadableEntries is the number of unreadable entries in the list of workers.
 	misread tally.Gauge
 }
 
-// buckets are the histograms' bounds: from some milliseconds to what no client waits for.
+// buckets are the bounds of the histograms, from 5 ms to 41 s, longer than any client waits.
 var buckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 14)
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -45,32 +45,32 @@
 	}
 }
 
-// ended counts a run's end by its way.
+// ended counts the end of a run by its outcome.
 func (m *metrics) ended(how string) {
 	m.scope.Tagged(map[string]string{"how": how}).Counter("runs_ended").Inc(1)
 }
 
-// wasted counts core-seconds of work that ended without being done or saved, by the way it ended.
+// wasted counts the CPU time of runs that ended without completing their task or saving progress, by cause.
 func (m *metrics) wasted(cause string, coreSeconds float64) {
 	m.scope.Tagged(map[string]string{"cause": cause}).Counter("core_milliseconds_wasted").Inc(int64(coreSeconds * 1000))
 }
 
-// refused counts a refused order by its reason.
+// refused counts a rejected order by reason.
 func (m *metrics) refused(why string) {
 	m.scope.Tagged(map[string]string{"why": why}).Counter("orders_refused").Inc(1)
 }
 
-// drainLeft tells how many runs are left in a drained data centre.
-func (m *metrics) drainLeft(dataCentre string, runs int) {
+// drainRemaining sets the number of runs left in a drained data centre.
+func (m *metrics) drainRemaining(dataCentre string, runs int) {
 	m.scope.Tagged(map[string]string{"datacentre": dataCentre}).Gauge("runs_in_drained").Update(float64(runs))
 }
 
-// takeover records how long after its term a new leader reached a step of taking over.
+// takeover records the time from the start of its term until a new leader reached a step of the takeover.
 func (m *metrics) takeover(step string, after time.Duration) {
 	m.scope.Tagged(map[string]string{"step": step}).Histogram("takeover", buckets).RecordDuration(after)
 }
 
-// modeLasted counts the time that a degraded mode has lasted.
+// modeLasted adds the duration of a period in a degraded mode.
 func (m *metrics) modeLasted(of mode, d time.Duration) {
 	m.scope.Tagged(map[string]string{"mode": of.String()}).Counter("mode_milliseconds").Inc(d.Milliseconds())
 }
--- a/pool/orgmetrics.go
+++ b/pool/orgmetrics.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// organisationsMost bounds the names among the metrics; what the others have running is added up under one name.
-	organisationsMost  = 64
-	otherOrganisations = "(others)"
-	// organisationsEvery is the pause between two looks at what organisations have running, for the metrics.
-	organisationsEvery = time.Second
+	// maxOrganisationGauges is the maximum number of organisations with their own gauge. The usage of all others is summed under otherOrganisations.
+	maxOrganisationGauges = 64
+	otherOrganisations    = "(others)"
+	// organisationGaugeInterval is the interval between two updates of the gauges.
+	organisationGaugeInterval = time.Second
 )
 
-// organisationMetrics tells what organisations have running, of a bounded number of names.
+// organisationMetrics publishes the CPU usage of organisations, with a limited number of gauges.
 type organisationMetrics struct {
-	gauges map[string]tally.Gauge
-	at     time.Time
+	gauges    map[string]tally.Gauge
+	updatedAt time.Time
 }
 
-// tellOrganisations updates the gauges, at times.
+// updateOrganisationGauges updates the gauges once per organisationGaugeInterval.
 func (c *session) tellOrganisations(now time.Time) {
 	m := &c.organisationMetrics
-	if now.Sub(m.at) < organisationsEvery {
+	if now.Sub(m.updatedAt) < organisationGaugeInterval {
 		return
 	}
-	m.at = now
+	m.updatedAt = now
 	held := make(map[string]job.Need)
 	for _, name := range c.ledger.Names() {
 		n, _ := c.ledger.Held(name)
-		if m.gauges[name] == nil && len(m.gauges) >= organisationsMost {
+		if m.gauges[name] == nil && len(m.gauges) >= maxOrganisationGauges {
 			name = otherOrganisations
 		}
 		m.gauge(c.counts.scope, name)
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -12,35 +12,36 @@
 	"rackstep.dev/work"
 )
 
-// pacedWait is how long a hold waits on a worker where filling tasks run beside serving ones: their figures are of the
-// last half second.
+// pacedWait is the maximum wait of a hold on a worker that runs filler tasks beside serving ones: the latencies that it reports cover the last half
+// second.
 const pacedWait = 500 * time.Millisecond
 
-// paceFills limits the filling tasks of a worker so that the serving tasks beside them stay under their targets.
+// paceFills limits the CPU share of the filler tasks of a worker so that the tail latencies of the serving tasks beside them stay below their
+// targets.
 func (c *session) paceFills(w *worker, now time.Time) {
 	mixed := w.room.Filling > 0 && w.room.Serving > 0
 	w.mixed.Store(mixed)
 	if w.room.Filling == 0 {
 		return
 	}
-	worst := 0.0
+	worstTail := 0.0
 	for t := range w.runs {
 		if s := t.Spec(); s.Lasting && !s.Fills && s.TailTarget > 0 && t.AtWork {
-			worst = max(worst, t.Gauge/float64(s.TailTarget))
+			worstTail = max(worstTail, t.Gauge/float64(s.TailTarget))
 		}
 	}
 	for t, r := range w.runs {
 		if !t.Spec().Fills || t.Phase != job.Active || t.Stopping {
 			continue
 		}
-		if p := upkeep.Pace(r.pace, worst); p != r.pace {
+		if p := upkeep.Pace(r.pace, worstTail); p != r.pace {
 			r.pace = p
-			c.pace(w, t, r, worst)
+			c.pace(w, t, r, worstTail)
 		}
 	}
 }
 
-// pace orders another share for a run; an order without an answer is given again with the next change.
+// pace sends a new CPU share for a run. If the order is not answered, it is sent again after the next report.
 func (c *session) pace(w *worker, t *job.Task, r *run, worst float64) {
 	o := work.Pace{Task: t.Name(), Run: r.number, Percent: r.pace, Fence: w.token.Load()}
 	c.emit(event.RunPaced, event.Subject{Job: o.Task, Instance: w.Life}, "run=%d percent=%d tail=%.2f of its target", o.Run, o.Percent, worst)
@@ -53,7 +54,7 @@
 	})
 }
 
-// paceEnded is the answer to a pace, or the lack of one.
+// paceEnded is the result of a pace order.
 type paceEnded struct {
 	worker *worker
 	task   *job.Task
@@ -67,7 +68,7 @@
 	r := m.worker.runs[m.task]
 	switch {
 	case m.err != nil && r != nil && r.number == m.run:
-		r.pace = upkeep.PaceUnknown // the next report gives the order again
+		r.pace = upkeep.PaceUnknown // sent again after the next report
 	case m.err == nil && m.answer.Refusal == work.Fenced:
 		c.tokenRefused(m.worker, m.token)
 	}
--- a/pool/placing.go
+++ b/pool/placing.go
@@ -11,15 +11,16 @@
 
 func (c *session) dirtyPool(name string) { c.pool(name).dirty = true }
 
-// dirtyAll has every pool looked at, after what held some jobs back is gone: what waits is in their open groups already.
-// Opening every job anew with each worker's first report took a leader 5.2 s of a core with 1,100 workers and 5,000 jobs.
+// markAllDirty schedules a placement pass for every pool after a condition that held jobs back is gone. The waiting tasks are already in their open
+// groups, so the jobs are not opened again: opening every job with the first report of each worker took a leader 5.2 s of a core with 1,100 workers
+// and 5,000 jobs.
 func (c *session) dirtyAll() {
 	for _, p := range c.pools {
 		p.dirty = true
 	}
 }
 
-// openJob makes the tasks of a job whose turn has come ready to be placed.
+// openJob makes the tasks of a job that are due available for placement.
 func (c *session) openJob(j *job.Job, now time.Time) {
 	if j.State.Ended() {
 		return
@@ -29,7 +30,7 @@
 	}
 }
 
-// openTime opens the steps of one time of a job.
+// openOccurrence opens the steps of one scheduled occurrence of a job, or defers them until the occurrence is due.
 func (c *session) openTime(j *job.Job, k int, now time.Time) {
 	if j.Spec.Times > 0 && timeOfDay().Before(j.Due(k)) {
 		c.later[j.Spec.ID] = j
@@ -42,10 +43,11 @@
 	}
 }
 
-// timeOfDay is what due times and other entries' times are compared with; a Clock of its own adds suspensions, which the time of day has counted.
+// wallClock returns the wall clock time, which is compared with due times and with times reported by other entries. The scheduler's Clock is not
+// suitable for this: it adds the duration of suspensions, which the wall clock already includes.
 func timeOfDay() time.Time { return time.Now() }
 
-// openDue opens the times that have become due.
+// openDue opens the occurrences that have become due.
 func (c *session) openDue(now time.Time) {
 	for id, j := range c.later {
 		delete(c.later, id)
@@ -53,7 +55,7 @@
 	}
 }
 
-// openStep puts the waiting tasks of a step into its pool's open groups.
+// openStep adds the startable tasks of a step to the open groups of its pool, or removes the group if there are none.
 func (c *session) openStep(j *job.Job, k, step int) {
 	q := c.queue(j)
 	p := c.pool(q.Pool)
@@ -76,8 +78,8 @@
 	p.dirty = true
 }
 
-// rank works out how urgent and how worthwhile a group is now.
-func (c *session) rank(g *place.Group, now time.Time) {
+// updateOutlook recomputes the slack and the expected value of a group.
+func (c *session) updateOutlook(g *place.Group, now time.Time) {
 	j := g.Job
 	q := c.queue(j)
 	from := j.From
@@ -87,21 +89,22 @@
 	whole, left, work := c.chains(j, g.Time, q.Name)
 	e := place.Estimate{
 		From: from, Aim: time.Duration(q.Stretch*float64(whole)) + q.Target, Whole: whole, Left: left,
-		Density: earns(c.jobWork(j, q.Name)/max(c.learned(q.Name).work, minWork)) / max(work, minWork),
+		Density: relativeValue(c.jobWork(j, q.Name)/max(c.learned(q.Name).work, minWork)) / max(work, minWork),
 	}
 	g.Outlook = e.At(now)
 }
 
-// rankFor is how long a group's rank is good for.
-const rankFor = 150 * time.Millisecond
+// outlookTTL is the time for which a group's outlook is reused before it is recomputed.
+const outlookTTL = 150 * time.Millisecond
 
-// minWork bounds what a job is taken to need, in core-seconds, so that nothing is divided by nothing.
+// minWork is the minimum work assumed for a job, in core-seconds. It avoids divisions by zero.
 const minWork = 0.01
 
-// earns is what a job earns by its work relative to the mean of its queue, as the users weigh it.
-func earns(work float64) float64 { return min(0.3+0.7*work, 4) }
+// relativeValue returns the value of a job in relation to the mean job of its queue, by the users' rules. The argument is its work divided by the
+// mean work.
+func relativeValue(work float64) float64 { return min(0.3+0.7*work, 4) }
 
-// closeJob takes an ended job out of the open groups.
+// closeJob removes an ended job from the open groups.
 func (c *session) closeJob(j *job.Job) {
 	p := c.pool(c.queue(j).Pool)
 	for k := range max(j.Spec.Times, 1) {
@@ -111,7 +114,7 @@
 	}
 }
 
-// requeue makes a task wait for another run; one that is done by another run stays done.
+// requeue returns a task to the waiting state after a run that did not complete it. A task that another run has finished stays finished.
 func (c *session) requeue(t *job.Task) {
 	if t.Phase == job.Finished {
 		return
@@ -127,9 +130,9 @@
 	}
 }
 
-// placeAll places what is open in the pools in which something has changed.
+// placeAll places the open groups of every pool that has changed.
 //
-// A leader that another one may have followed starts nothing.
+// A leader that may have been superseded starts nothing.
 func (c *session) placeAll(now time.Time) {
 	if !c.mayOrder(now) {
 		return
@@ -141,54 +144,55 @@
 		p.dirty = false
 		c.placePool(p, now)
 		ended := c.now()
-		p.next = ended.Add(placeRest * ended.Sub(now))
+		p.next = ended.Add(placementPauseFactor * ended.Sub(now))
 		now = ended
 	}
 }
 
-// placeRest bounds placement to a fifth of the processor: a large backlog is looked at less often.
-const placeRest = 4
+// placementPauseFactor is the pause after a placement pass as a multiple of the duration of the pass. It limits placement to a fifth of the
+// processor: a large backlog is processed less often.
+const placementPauseFactor = 4
 
 func (c *session) placePool(p *poolRow, now time.Time) {
 	if len(p.open) == 0 {
 		return
 	}
-	rooms := c.rooms(p, now)
-	if len(rooms) == 0 {
+	capacity := c.capacitySnapshot(p, now)
+	if len(capacity) == 0 {
 		return
 	}
-	groups := c.groups(p, now)
+	open := c.placeableGroups(p, now)
 	draft := c.draft()
-	place.OrderShared(groups, place.Shares{Draft: draft, Whole: c.room()})
-	rooms = c.placeApart(p, groups, rooms, draft, now)
-	for _, x := range place.Tasks(groups, rooms, draft) {
+	place.OrderShared(open, place.Shares{Draft: draft, Whole: c.totalCapacity()})
+	capacity = c.placeApart(p, open, capacity, draft, now)
+	for _, x := range place.Tasks(open, capacity, draft) {
 		c.startChoice(x, now)
 	}
 	for key, g := range p.open {
-		g.Tasks = waiting(g.Tasks)
+		g.Tasks = startableTasks(g.Tasks)
 		if len(g.Tasks) == 0 {
 			delete(p.open, key)
 		}
 	}
-	c.tellCapped(groups)
+	c.logCapped(open)
 }
 
-// rooms returns copies of the rooms of the pool's usable workers.
-func (c *session) rooms(p *poolRow, now time.Time) []*place.Room {
+// capacitySnapshot returns copies of the free capacity of the usable workers of the pool.
+func (c *session) capacitySnapshot(p *poolRow, now time.Time) []*place.Room {
 	copies := make([]place.Room, 0, len(c.workers))
-	sure := c.confirmed(now)
-	guards := c.config != nil && c.config.Pools[p.name].Guards
+	confirmed := c.confirmed(now)
+	enforcesCapacity := c.config != nil && c.config.Pools[p.name].Guards
 	for _, w := range c.workers {
 		if w.Pool != p.name {
 			continue
 		}
-		if w.unknown > 0 && !guards {
-			continue // nobody knows what they hold, and the worker would take whatever it is told; its next report tells when they have ended
+		if w.unknown > 0 && !enforcesCapacity {
+			continue // the resources used by unknown runs are not known, and such a worker accepts whatever it is sent; a later report shows when they have ended
 		}
 		if now.Before(w.restUntil) {
-			p.dirty = true // looked at again with the next tick
+			p.dirty = true // retried with the next tick
 		}
-		if w.usable(now) && w.trial == nil && c.workersKept[w.Life] && (w.sure || sure) {
+		if w.usable(now) && w.trial == nil && c.workersKept[w.Life] && (w.sure || confirmed) {
 			r := w.room
 			r.Fresh = now.Sub(w.newestAt) <= alikeWithin
 			r.Cold = now.Before(w.coldUntil)
@@ -202,56 +206,57 @@
 	return rooms
 }
 
-// groups returns the open groups of which something may start now.
-func (c *session) groups(p *poolRow, now time.Time) []*place.Group {
-	blocked := c.blocked(p.name)
-	sure := c.confirmed(now)
+// placeableGroups returns the open groups of which at least one task may start now.
+func (c *session) placeableGroups(p *poolRow, now time.Time) []*place.Group {
+	blocked := c.hasUnansweredWorkers(p.name)
+	confirmed := c.confirmed(now)
 	groups := make([]*place.Group, 0, len(p.open))
 	for _, g := range p.open {
 		if (blocked && c.restored[g.Job.Spec.ID]) || c.jobIsAside(g.Job) {
 			continue
 		}
-		if !sure && c.readUnsure[g.Job.Spec.ID] {
+		if !confirmed && c.readUnsure[g.Job.Spec.ID] {
 			p.dirty = true
 			continue
 		}
 		step := &g.Job.Spec.Steps[g.Step]
-		g.Tasks = waiting(g.Tasks) // a worker may have listed some of them meanwhile
+		g.Tasks = startableTasks(g.Tasks) // a worker may have reported some of them as running in the meantime
 		if len(g.Tasks) == 0 {
 			continue
 		}
 		if step.Gang && len(g.Tasks) < step.Count {
-			continue // the others of its gang are still to end
+			continue // the remaining members of the gang have not ended yet
 		}
-		if held := holdBack(g.Tasks, now); held > 0 {
+		if held := markHeld(g.Tasks, now); held > 0 {
 			p.dirty = true
 			if held == len(g.Tasks) || step.Gang {
 				continue
 			}
 		}
-		if !c.withTickets(g, now) {
+		if !c.attachTickets(g, now) {
 			p.dirty = true
 			continue
 		}
-		c.countGroup(g, step)
-		if now.Sub(g.Ranked) > rankFor {
+		c.countPlacedTasks(g, step)
+		if now.Sub(g.Ranked) > outlookTTL {
 			g.Ranked = now
-			c.rank(g, now)
+			c.updateOutlook(g, now)
 		}
 		groups = append(groups, g)
 	}
 	return groups
 }
 
-// mayBeUnkept says whether an earlier leader may have started, or may still start, what is not kept: one that went on without the store, or that
-// may do so until half of the instances have this leader's token.
-func (c *session) mayBeUnkept() bool {
+// mayHaveUnstoredRuns reports whether an earlier leader may have started, or may still start, runs that are not stored: one that continued without
+// the store, or one that may do so until half of the instances have this leader's token.
+func (c *session) mayHaveUnstoredRuns() bool {
 	return c.coarse || (!c.term.Clean && c.raised.IsZero())
 }
 
-// blocked says whether a worker of the pool that has not answered may still run what an earlier leader started.
-func (c *session) blocked(pool string) bool {
-	if !c.mayBeUnkept() {
+// hasUnansweredWorkers reports whether an unstored run of an earlier leader may still be active on a worker of the pool that has not answered this
+// leader yet.
+func (c *session) hasUnansweredWorkers(pool string) bool {
+	if !c.mayHaveUnstoredRuns() {
 		return false
 	}
 	for _, w := range c.unheard {
@@ -262,8 +267,9 @@
 	return false
 }
 
-// countGroup counts where the step's tasks are, if its placement depends on that.
-func (c *session) countGroup(g *place.Group, step *job.Step) {
+// countPlacedTasks counts the running tasks of the step by worker, and by rack if they are long-running. It does nothing for steps whose placement
+// does not depend on these counts.
+func (c *session) countPlacedTasks(g *place.Group, step *job.Step) {
 	if step.PerWorker == 0 && !step.Lasting {
 		return
 	}
@@ -285,8 +291,8 @@
 	}
 }
 
-// holdBack marks the tasks that are not to be started yet, and returns how many there are.
-func holdBack(tasks []*job.Task, now time.Time) int {
+// markHeld marks the tasks that must not be started yet, and returns their number.
+func markHeld(tasks []*job.Task, now time.Time) int {
 	held := 0
 	for _, t := range tasks {
 		t.Held = now.Before(t.NotBefore) || t.MayComeLate(now)
@@ -297,10 +303,10 @@
 	return held
 }
 
-// startable says whether a task waits for a run and may have one.
+// startable reports whether a task waits for a run and is not parked.
 func startable(t *job.Task) bool { return t.Phase == job.Waiting && !t.Parked() }
 
-func waiting(tasks []*job.Task) []*job.Task {
+func startableTasks(tasks []*job.Task) []*job.Task {
 	kept := tasks[:0]
 	for _, t := range tasks {
 		if startable(t) {
@@ -310,27 +316,28 @@
 	return kept
 }
 
-// startChoice orders what placement chose; the members of a gang share one run number and what was saved.
-func (c *session) startChoice(x place.Choice, now time.Time) {
-	t := x.Task
-	w := c.workers[x.Room.Worker.Life]
+// startChoice plans the start that placement has chosen. The members of a gang share a run number and the saved progress.
+func (c *session) startChoice(choice place.Choice, now time.Time) {
+	t := choice.Task
+	w := c.workers[choice.Room.Worker.Life]
 	if t.Spec().Lasting && !c.mayLast(w, now) {
-		return // it waits on
+		return // the task keeps waiting
 	}
 	number := int64(0)
 	if t.Spec().Gang {
-		number = c.gangRun(t)
+		number = c.gangRunNumber(t)
 	} else {
 		number = c.nextRun()
 	}
-	if x.Apart {
+	if choice.Apart {
 		c.try(w, t, number)
 	}
-	c.start(w, t, &run{number: number, sentAt: now, pace: fullPercent, ticket: x.Ticket, slack: x.Slack}, now)
+	c.start(w, t, &run{number: number, sentAt: now, pace: fullPercent, ticket: choice.Ticket, slack: choice.Slack}, now)
 }
 
-// gangRun returns the number that the members of the gang started now share, and gives them the same saved progress.
-func (c *session) gangRun(t *job.Task) int64 {
+// gangRunNumber returns the run number shared by the members of the gang that are started together, and copies the saved progress of the gang to the
+// task.
+func (c *session) gangRunNumber(t *job.Task) int64 {
 	tasks := t.Job.StepTasks(t.Time, t.Step)
 	for i := range tasks {
 		if tasks[i].Phase == job.Starting {
@@ -348,11 +355,11 @@
 }
 
 func stepName(t *job.Task) string {
-	n := t.Name()
-	for i := len(n) - 1; i >= 0; i-- {
-		if n[i] == '.' {
-			return n[:i]
+	name := t.Name()
+	for i := len(name) - 1; i >= 0; i-- {
+		if name[i] == '.' {
+			return name[:i]
 		}
 	}
-	return n
+	return name
 }
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -12,21 +12,21 @@
 	"rackstep.dev/place"
 )
 
-// organisationsChanged puts the organisations of a version of the configuration in force.
+// organisationsChanged applies the organisations of a new configuration version.
 type organisationsChanged struct{ directory *org.Directory }
 
 func (m organisationsChanged) apply(c *session) {
 	c.ledger.SetDirectory(m.directory)
 	c.rate.Forget(m.directory)
-	c.dirtyAll() // a cap may have risen
+	c.dirtyAll() // a cap may have been raised
 }
 
-// judgeRate notes whether a job that was handed in just now is beyond its organisation's rate, by the time at which it was taken.
+// checkRate records whether a job exceeds the rate limit of its organisation, based on the time at which it was accepted.
 func (c *session) judgeRate(j *job.Job) {
 	j.Beyond = c.rate.Beyond(c.ledger.Of(j.Spec.Organisation), j.Spec.Taken.Time())
 }
 
-// restoreRates judges all jobs that were read at once, in the order in which they were taken.
+// recheckRates repeats the rate check for all jobs that a new leader has loaded, in the order in which they were accepted.
 func (c *session) restoreRates() {
 	jobs := make([]*job.Job, 0, len(c.jobs))
 	for _, j := range c.jobs {
@@ -42,40 +42,41 @@
 	}
 }
 
-// draft returns the ledger to decide on.
+// draft returns a copy of the ledger for a placement decision. Capacity that organisations may be using without being counted is charged to them.
 func (c *session) draft() *org.Draft {
 	if !c.ledger.Bounded() {
 		return c.ledger.Draft(nil)
 	}
-	unread, unkept := c.uncounted()
-	if unkept == (job.Need{}) {
-		return c.ledger.Draft(func(string) job.Need { return unread })
+	ofUnknownJobs, unstored := c.uncountedNeed()
+	if unstored == (job.Need{}) {
+		return c.ledger.Draft(func(string) job.Need { return ofUnknownJobs })
 	}
-	may := c.mayHaveStarted()
-	return c.ledger.Draft(func(name string) job.Need { return unread.Plus(unkept.Least(may[name])) })
+	possible := c.possiblyStarted()
+	return c.ledger.Draft(func(name string) job.Need { return ofUnknownJobs.Plus(unstored.Least(possible[name])) })
 }
 
-// mayHaveStarted returns, by organisation, what waits of the jobs that an earlier leader knew: no more can run without having been kept.
-func (c *session) mayHaveStarted() map[string]job.Need {
-	may := make(map[string]job.Need)
+// possiblyStarted returns, by organisation, the total need of the waiting tasks of jobs that an earlier leader knew. Unstored runs of an organisation
+// can't use more than that.
+func (c *session) possiblyStarted() map[string]job.Need {
+	possible := make(map[string]job.Need)
 	for id := range c.restored {
 		j := c.jobs[id]
 		if j == nil || j.Spec.Organisation == "" || j.State.Ended() {
 			continue
 		}
-		sum := may[j.Spec.Organisation]
+		sum := possible[j.Spec.Organisation]
 		for i := range j.Tasks {
 			if j.Tasks[i].Phase == job.Waiting {
 				sum = sum.Plus(j.Tasks[i].Spec().Need)
 			}
 		}
-		may[j.Spec.Organisation] = sum
+		possible[j.Spec.Organisation] = sum
 	}
-	return may
+	return possible
 }
 
-// tellCapped writes which steps begin to wait for their organisation's cap, and which no longer do: a line for each change.
-func (c *session) tellCapped(groups []*place.Group) {
+// logCapped logs each step that starts or stops waiting for the cap of its organisation, one line per change.
+func (c *session) logCapped(groups []*place.Group) {
 	for _, g := range groups {
 		if g.Capped == g.ToldCapped || len(g.Tasks) == 0 {
 			continue
@@ -96,8 +97,8 @@
 	}
 }
 
-// room returns the room of all workers together, nothing where no organisation shares it.
-func (c *session) room() job.Need {
+// totalCapacity returns the total capacity of all workers, or zero if no organisations are configured.
+func (c *session) totalCapacity() job.Need {
 	var sum job.Need
 	if c.ledger.Directory().Len() == 0 {
 		return sum
@@ -108,23 +109,25 @@
 	return sum
 }
 
-// uncounted returns the most that may run in workers without being in the tables: where a worker lists runs of jobs that nobody has read, so that
-// nobody knows whose they are; and where an earlier leader may have started what it did not keep and the worker has not answered yet.
-func (c *session) uncounted() (unread, unkept job.Need) {
+// uncountedNeed returns the maximum capacity used by runs that are not in the tables.
+//
+// ofUnknownJobs is the free capacity of workers that list runs of unknown jobs, whose organisations are therefore unknown. unstored is the free
+// capacity of workers that have not answered yet and may have runs that an earlier leader started without storing them.
+func (c *session) uncountedNeed() (ofUnknownJobs, unstored job.Need) {
 	var largest job.Need
-	unlisted, mayBe := 0, c.mayBeUnkept()
+	unknownCapacity, mayHaveUnstored := 0, c.mayHaveUnstoredRuns()
 	for _, w := range c.workers {
 		largest = largest.Most(w.Room)
 		switch {
 		case w.unread > 0 || w.unknown > 0:
-			unread = unread.Plus(w.room.Free.Most(job.Need{}))
-		case !mayBe || c.unheard[w.Life] == nil:
+			ofUnknownJobs = ofUnknownJobs.Plus(w.room.Free.Most(job.Need{}))
+		case !mayHaveUnstored || c.unheard[w.Life] == nil:
 		case w.Room == (job.Need{}):
-			unlisted++
+			unknownCapacity++
 		default:
-			unkept = unkept.Plus(w.room.Free.Most(job.Need{}))
+			unstored = unstored.Plus(w.room.Free.Most(job.Need{}))
 		}
 	}
-	// A life that is kept and has left the list has a room that this leader does not know: as large as the largest.
-	return unread, unkept.Plus(largest.Times(unlisted))
+	// The capacity of a stored incarnation that is no longer listed is not known. It is taken to be that of the largest worker.
+	return ofUnknownJobs, unstored.Plus(largest.Times(unknownCapacity))
 }
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -20,15 +20,15 @@
 	"rackstep.dev/work"
 )
 
-// capped puts organisations in force of which "a" may have that many thousandths of a core.
-func (b *bench) capped(milliCPU int) {
+// setCap configures organisations "a" and "b", of which "a" has a cap in thousandths of a core.
+func (b *bench) setCap(milliCPU int) {
 	b.c.Helper()
 	d, err := org.NewDirectory([]org.Organisation{{Name: "a", Weight: 10, Cap: job.Need{MilliCPU: milliCPU}}, {Name: "b", Weight: 10}})
 	b.c.Assert(err, quicktest.IsNil)
 	organisationsChanged{d}.apply(b.session)
 }
 
-// handIn reads a job of an organisation from the intake.
+// submit reads a job of an organisation from the intake.
 func (b *bench) handIn(organisation, id string, s job.Step) *job.Job {
 	b.c.Helper()
 	j := b.readIntake(0, record(b.c, job.OwnedBy(organisation, id).HandedInKey(), &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{s}, Taken: job.UnixMilli(time.Now().UnixMilli())}), time.Now())
@@ -38,43 +38,45 @@
 	return j
 }
 
-func core(count int) job.Step { return job.Step{Count: count, Need: job.Need{MilliCPU: 1000}} }
+func oneCoreTasks(count int) job.Step { return job.Step{Count: count, Need: job.Need{MilliCPU: 1000}} }
 
-// earlier reads a job of an organisation that an earlier leader knew too.
-func (b *bench) earlier(organisation, id string, s job.Step) {
+// submitToEarlierLeader reads a job of an organisation that an earlier leader also knew.
+func (b *bench) submitToEarlierLeader(organisation, id string, s job.Step) {
 	b.c.Helper()
 	b.handIn(organisation, id, s)
 	b.restored[id] = true
 }
 
-func idOf(n int) string { return fmt.Sprintf("%016x", n) }
+func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// TestACapCountsWhatIsUnderWay has starts without an answer, runs being stopped and a silent worker: all of them may be running.
+// TestACapCountsWhatIsUnderWay guards against exceeding a cap by not counting runs whose start is unanswered or that are being stopped: all of them
+// may be active.
 func TestACapCountsWhatIsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1", "w2")
-		b.capped(3000)
+		b.setCap(3000)
 		b.reports("w1", 10, nil)
 		b.reports("w2", 10, nil)
-		first := b.handIn("a", idOf(1), core(2))
+		first := b.handIn("a", jobID(1), oneCoreTasks(2))
 		c.Assert(b.ordered(), quicktest.Equals, 2)
-		b.keeps() // ordered, and not answered
-		b.handIn("a", idOf(2), core(3))
+		b.keeps() // sent but not answered
+		b.handIn("a", jobID(2), oneCoreTasks(3))
 		c.Assert(b.ordered(), quicktest.Equals, 1)
 		b.stopAll(first, "cancelled")
 		b.keeps()
 		c.Assert(b.ordered(), quicktest.Equals, 0, quicktest.Commentf("stopped is not ended"))
-		c.Assert(b.handIn("b", idOf(3), core(2)).State, quicktest.Equals, job.Queued)
+		c.Assert(b.handIn("b", jobID(3), oneCoreTasks(2)).State, quicktest.Equals, job.Queued)
 		c.Assert(b.ordered(), quicktest.Equals, 2, quicktest.Commentf("what waits for its cap keeps no room"))
 	})
 }
 
-// TestTheNextLeaderCountsBeforeItsFirstStart has what an earlier leader has ordered, kept or not, count against the cap.
+// TestTheNextLeaderCountsBeforeItsFirstStart guards against a new leader exceeding a cap because it does not count runs started by earlier leaders on
+// workers that have not answered yet.
 func TestTheNextLeaderCountsBeforeItsFirstStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		spec := &job.Spec{ID: idOf(1), Queue: "q", Pool: "p", Steps: []job.Step{core(2)}, Organisation: "a"}
+		spec := &job.Spec{ID: jobID(1), Queue: "q", Pool: "p", Steps: []job.Step{oneCoreTasks(2)}, Organisation: "a"}
 		j := job.New(spec, time.Now())
 		for i := range j.Tasks {
 			j.Tasks[i].Phase, j.Tasks[i].Run, j.Tasks[i].Worker = job.Active, int64(5+i), "w1"
@@ -83,9 +85,9 @@
 		held, runs := b.ledger.Held("a")
 		c.Assert(held, quicktest.Equals, job.Need{MilliCPU: 2000})
 		c.Assert(runs, quicktest.Equals, 2)
-		b.capped(3000)
+		b.setCap(3000)
 		b.reports("w2", 10, nil) // w1 has not answered yet
-		b.handIn("a", idOf(2), core(4))
+		b.handIn("a", jobID(2), oneCoreTasks(4))
 		c.Assert(b.ordered(), quicktest.Equals, 1)
 	})
 }
@@ -98,18 +100,19 @@
 		b.coarse = true
 		b.unheard["w1"] = b.workers["w1"]
 		b.raised = time.Now()
-		b.capped(6000)
+		b.setCap(6000)
 		b.reports("w2", 10, nil)
-		b.earlier("a", idOf(9), core(20))
-		b.handIn("a", idOf(1), core(4))
+		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(20))
+		b.handIn("a", jobID(1), oneCoreTasks(4))
 		c.Assert(b.ordered(), quicktest.Equals, 2, quicktest.Commentf("w1 may run four cores of anybody's"))
 		b.reports("w1", 10, nil)
 		c.Assert(b.ordered(), quicktest.Equals, 6)
 	})
 }
 
-// TestWhatDoesNotWaitCanNotRunUnkept has a leader after a cut whose instances hold far more than a cap: of an organisation of which little waits, little
-// can run there. Counted as a whole, a cut data centre kept every small organisation from starting anything for three seconds after a takeover.
+// TestWhatDoesNotWaitCanNotRunUnkept guards against charging the full capacity of unreachable workers to every organisation. After a partition and a
+// takeover, that kept small organisations from starting anything for three seconds. An organisation can't have more unstored runs than it has waiting
+// tasks.
 func TestWhatDoesNotWaitCanNotRunUnkept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -119,17 +122,17 @@
 		for _, life := range []string{"w1", "w2", "w3"} {
 			b.unheard[life] = b.workers[life]
 		}
-		b.capped(5000)
+		b.setCap(5000)
 		b.reports("w4", 10, nil)
-		b.earlier("a", idOf(9), core(2))
-		b.earlier("b", idOf(8), core(20))
-		b.handIn("a", idOf(1), core(4))
+		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(2))
+		b.submitToEarlierLeader("b", jobID(8), oneCoreTasks(20))
+		b.handIn("a", jobID(1), oneCoreTasks(4))
 		c.Assert(b.ordered(), quicktest.Equals, 3)
 	})
 }
 
-// TestUntilHalfHaveItsTokenALeaderCountsWhatAnotherMayStart has a leader that took its term from one that may go on without the store: found by random
-// histories (seed 2516).
+// TestUntilHalfHaveItsTokenALeaderCountsWhatAnotherMayStart guards against exceeding a cap while the previous leader, which may continue without the
+// store, can still start runs. Found by random histories (seed 2516).
 func TestUntilHalfHaveItsTokenALeaderCountsWhatAnotherMayStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -138,10 +141,10 @@
 		for _, life := range []string{"w1", "w2"} {
 			b.unheard[life] = b.workers[life]
 		}
-		b.capped(9000)
+		b.setCap(9000)
 		b.reports("w3", 10, nil)
-		b.earlier("a", idOf(9), core(20))
-		b.handIn("a", idOf(1), core(6))
+		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(20))
+		b.handIn("a", jobID(1), oneCoreTasks(6))
 		c.Assert(b.ordered(), quicktest.Equals, 1, quicktest.Commentf("w1 and w2 may run eight cores of anybody's"))
 		b.reports("w2", 10, nil)
 		c.Assert(b.raised.IsZero(), quicktest.IsFalse)
@@ -149,8 +152,8 @@
 	})
 }
 
-// TestALifeOutOfTheListCountsAsLargeAsAny has a kept life that has left the list, so that its room is not known: found by random histories (seed 2929),
-// where an earlier leader that was cut off went on there beside the next one.
+// TestALifeOutOfTheListCountsAsLargeAsAny guards against ignoring a stored incarnation that is no longer listed, so that its capacity is unknown. A
+// previous leader that was partitioned continued to start runs there. Found by random histories (seed 2929).
 func TestALifeOutOfTheListCountsAsLargeAsAny(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -158,10 +161,10 @@
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
 		b.take(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		b.raised = time.Now()
-		b.capped(6000)
+		b.setCap(6000)
 		b.reports("w2", 10, nil)
-		b.earlier("a", idOf(9), core(20))
-		b.handIn("a", idOf(1), core(4))
+		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(20))
+		b.handIn("a", jobID(1), oneCoreTasks(4))
 		c.Assert(b.ordered(), quicktest.Equals, 2)
 	})
 }
@@ -170,11 +173,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1")
-		b.capped(4000)
+		b.setCap(4000)
 		b.reports("w1", 10, nil)
-		b.handIn("a", idOf(1), core(4))
+		b.handIn("a", jobID(1), oneCoreTasks(4))
 		c.Assert(b.ordered(), quicktest.Equals, 4)
-		b.capped(2000)
+		b.setCap(2000)
 		b.keeps()
 		held, runs := b.ledger.Held("a")
 		c.Assert(held, quicktest.Equals, job.Need{MilliCPU: 2000})
@@ -182,14 +185,14 @@
 	})
 }
 
-// TestTheLedgerIsARecountOfTheWorkersLists plays random reports, losses and orders against a recount from the tables of workers.
+// TestTheLedgerIsARecountOfTheWorkersLists compares the ledger with a recount of the workers' tables after random reports, losses and orders.
 func TestTheLedgerIsARecountOfTheWorkersLists(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
 			r := rand.New(rand.NewPCG(seed, 3))
 			b := newBench(c, nil, "w1", "w2", "w3")
-			b.capped(5000)
+			b.setCap(5000)
 			clock, newest := work.Clock(10), make(map[string]int64)
 			for _, life := range []string{"w1", "w2", "w3"} {
 				b.reports(life, clock, nil)
@@ -197,12 +200,12 @@
 			for step := range 60 {
 				switch r.IntN(6) {
 				case 0:
-					b.handIn([]string{"a", "b", ""}[r.IntN(3)], idOf(step), job.Step{Count: 1 + r.IntN(4), Need: job.Need{MilliCPU: 500 * (1 + r.IntN(3)), MemoryMB: r.IntN(100)}})
+					b.handIn([]string{"a", "b", ""}[r.IntN(3)], jobID(step), job.Step{Count: 1 + r.IntN(4), Need: job.Need{MilliCPU: 500 * (1 + r.IntN(3)), MemoryMB: r.IntN(100)}})
 				case 1:
 					b.ordered()
 					b.keeps()
 				case 2:
-					b.capped(1000 * r.IntN(8))
+					b.setCap(1000 * r.IntN(8))
 				case 3:
 					if len(b.workers) > 1 && r.IntN(5) == 0 {
 						for _, w := range b.workers {
@@ -254,15 +257,15 @@
 	}
 }
 
-// TestWhatIsPublishedWhileALeaderReadsItsTablesCounts publishes a configuration between the beginning of a session and its lead: found by random
-// histories of caps (seeds 27 and 31), where leaders went by caps of before for as long as they led.
+// TestWhatIsPublishedWhileALeaderReadsItsTablesCounts guards against a leader missing a configuration that is published between the start of its
+// session and the end of loading. Such leaders used outdated caps for their whole term. Found by random histories of caps (seeds 27 and 31).
 func TestWhatIsPublishedWhileALeaderReadsItsTablesCounts(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(c, nil, "w1")
 	newer := &job.Catalog{Version: 9}
 	d, err := org.NewDirectory([]org.Organisation{{Name: "a", Weight: 1}})
 	c.Assert(err, quicktest.IsNil)
-	b.Scheduler.SetOrganisations(d) // nobody leads yet
+	b.Scheduler.SetOrganisations(d) // no session is active yet
 	b.Scheduler.SetCatalog(newer)
 	b.Scheduler.lead(b.session)
 	for _, m := range b.inbox.take() {
@@ -272,20 +275,21 @@
 	c.Assert(b.ledger.Directory(), quicktest.Equals, d)
 }
 
-// TestWhatNobodyOwesAndWhatACapHoldsAskForNoInstance compares what a pool is taken to need with such work and without.
+// TestWhatNobodyOwesAndWhatACapHoldsAskForNoInstance checks that jobs over their rate limit and tasks held back by a cap do not increase the need of
+// a pool.
 func TestWhatNobodyOwesAndWhatACapHoldsAskForNoInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1")
-		b.capped(1000)
+		b.setCap(1000)
 		b.reports("w1", 10, nil)
-		b.handIn("b", idOf(1), core(6))
+		b.handIn("b", jobID(1), oneCoreTasks(6))
 		b.ordered()
 		b.countLoads()
 		before := b.pool("p").load.waitingWork
-		b.handIn("a", idOf(2), core(20))
-		b.handIn("b", idOf(3), core(20)).Beyond = true
-		b.openJob(b.jobs[idOf(3)], time.Now())
+		b.handIn("a", jobID(2), oneCoreTasks(20))
+		b.handIn("b", jobID(3), oneCoreTasks(20)).Beyond = true
+		b.openJob(b.jobs[jobID(3)], time.Now())
 		b.ordered()
 		b.countLoads()
 		c.Assert(b.pool("p").load.waitingWork, quicktest.Equals, before)
@@ -296,9 +300,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1")
-		b.capped(2000)
+		b.setCap(2000)
 		b.reports("w1", 10, nil)
-		b.handIn("a", idOf(1), core(3))
+		b.handIn("a", jobID(1), oneCoreTasks(3))
 		told := func() (lines []string) {
 			for _, e := range b.Events.Since(0) {
 				if e.Number == event.JobWaits {
@@ -311,7 +315,7 @@
 			b.ordered()
 		}
 		c.Assert(told(), quicktest.DeepEquals, []string{`why=cap organisation="a" step=0 tasks=1 running=2 held=2000m/0MB cap=2000m/0MB`})
-		b.capped(8000)
+		b.setCap(8000)
 		b.workers["w1"].room.Free = job.Need{}
 		b.ordered()
 		c.Assert(told(), quicktest.HasLen, 2)
@@ -319,13 +323,13 @@
 	})
 }
 
-// TestTheMetricsNameABoundedNumberOfOrganisations has more of them than are named apart.
+// TestTheMetricsNameABoundedNumberOfOrganisations checks that organisations beyond the limit share one gauge.
 func TestTheMetricsNameABoundedNumberOfOrganisations(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(c, nil, "w1")
 	scope := tally.NewTestScope("", nil)
 	b.counts = newMetrics(scope)
-	for i := range organisationsMost + 10 {
+	for i := range maxOrganisationGauges + 10 {
 		b.ledger.Take(fmt.Sprintf("o%03d", i), job.Need{MilliCPU: 100})
 	}
 	b.tellOrganisations(time.Now())
@@ -336,9 +340,9 @@
 			named++
 		}
 	}
-	c.Assert(named, quicktest.Equals, organisationsMost+1)
+	c.Assert(named, quicktest.Equals, maxOrganisationGauges+1)
 	c.Assert(gauges["organisation_millicores+organisation="+otherOrganisations].Value(), quicktest.Equals, 1000.0)
 	b.ledger.Return("o000", job.Need{MilliCPU: 100})
-	b.tellOrganisations(time.Now().Add(organisationsEvery))
+	b.tellOrganisations(time.Now().Add(organisationGaugeInterval))
 	c.Assert(scope.Snapshot().Gauges()["organisation_millicores+organisation=o000"].Value(), quicktest.Equals, 0.0)
 }
--- a/pool/shrink_test.go
+++ b/pool/shrink_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestRoomsThatShrinkAreNeverOverfilled plays random histories on workers that take whatever they are told and whose room shrinks and grows.
+// TestRoomsThatShrinkAreNeverOverfilled plays random histories with workers that accept every start and whose capacity shrinks and grows, and guards
+// against starting more than fits.
 func TestRoomsThatShrinkAreNeverOverfilled(t *testing.T) {
 	for i := range *histories {
 		seed := *first + uint64(i)
--- a/pool/size.go
+++ b/pool/size.go
@@ -14,45 +14,45 @@
 	"rackstep.dev/upkeep"
 )
 
-// Times of moves.
+// Timing of moves.
 const (
-	// moveAgain is the pause before an instance that could not be moved is tried again.
-	moveAgain = 600 * time.Millisecond
-	// moveLost is how long an instance may take to appear in its new pool, beyond the time of the move.
-	moveLost = 4 * time.Second
-	// ownWord is how long this leader's own knowledge of an instance goes before the machine interface's list.
+	// moveRetryPause is the pause before a failed move is retried.
+	moveRetryPause = 600 * time.Millisecond
+	// moveArrivalMargin is added to the stated duration of a move as the time limit for an instance to appear in its new pool.
+	moveArrivalMargin = 4 * time.Second
+	// localStateTTL is how long the state of an instance that this leader has moved takes precedence over the machine interface's list.
 	ownWord = 3 * time.Second
 )
 
-// moveStep is an instance on its way to another pool.
+// pendingMove is the move of an instance to another pool.
 type moveStep struct {
 	to, life string
 	since    time.Time
-	// asking says that a call is on its way, moved that it was done, queued that one is to leave as soon as it may.
-	asking, moved, queued bool
-	notBefore             time.Time
+	// inFlight means that a call is in progress, moved that the move has succeeded, queued that the call waits for the rate limit.
+	inFlight, moved, queued bool
+	notBefore               time.Time
 }
 
-// sizePools moves instances to where the work is.
+// sizePools moves instances between pools according to their load.
 func (c *session) sizePools(now time.Time) {
 	if c.config == nil || c.machinesRead.IsZero() || now.Before(c.aloneFrom) {
 		return
 	}
 	if c.storeFails(now) {
-		c.dropMoves()
+		c.cancelUnsentMoves()
 		return
 	}
-	c.carryMoves(now)
-	c.dropQueued()
-	pools, instances := c.sizes(now)
+	c.advanceMoves(now)
+	c.cancelQueuedMoves()
+	pools, instances := c.sizingInputs(now)
 	c.surplus = upkeep.Surplus(pools)
 	for _, m := range upkeep.Moves(pools, instances) {
-		c.beginMove(m, now)
+		c.startMove(m, now)
 	}
 }
 
-// sizes returns the pools and the instances as package upkeep wants them.
-func (c *session) sizes(now time.Time) ([]upkeep.Pool, []upkeep.Instance) {
+// sizingInputs returns the pools and the instances in the form that package upkeep expects.
+func (c *session) sizingInputs(now time.Time) ([]upkeep.Pool, []upkeep.Instance) {
 	rows := make(map[string]*upkeep.Pool)
 	var pools []upkeep.Pool
 	for name, p := range c.config.Pools {
@@ -66,71 +66,72 @@
 	for _, name := range c.instanceNames() {
 		m := c.machines[name]
 		if c.inWave(name) {
-			continue // it serves nobody until its upkeep is over
+			continue // it serves no pool until its maintenance is over
 		}
-		x := upkeep.Instance{Name: name, Pool: m.Pool, Labels: m.Labels, Fixed: m.State != MachineUp || c.fixed(name, now), Drained: c.drains[m.DataCentre] != nil}
+		x := upkeep.Instance{Name: name, Pool: m.Pool, Labels: m.Labels, Fixed: m.State != MachineUp || c.immovable(name, now), Drained: c.drains[m.DataCentre] != nil}
 		if s := c.moves[name]; s != nil {
 			x.Pool = s.to
 		}
-		w := c.lifeOf(name)
+		w := c.workerOn(name)
 		switch {
 		case w != nil && !w.out && (w.Leaving || w.misread || !w.silentSince.IsZero()):
-			continue // it is of no use to anybody
+			continue // it can't run new tasks
 		case w != nil:
 			x.Runs = len(w.runs)
 			x.Fixed = x.Fixed || !w.heard || !w.listed
 			x.Lasting = w.room.Serving + w.room.Filling
 		case !c.config.Pools[x.Pool].Headroom && c.moves[name] == nil && m.State != MachineMoving:
-			// It is down, or cut off for longer than its lease and its entry in the list. While such instances counted, a pool whose
-			// tasks all waited for a cut to end got none in their place.
+			// The instance is down, or has been unreachable for longer than its lease and its entry in the list lasted. Such instances must not
+			// count: otherwise a pool whose tasks all wait for a network partition to end gets no replacements.
 			continue
 		}
 		instances = append(instances, x)
 		if row := rows[x.Pool]; row != nil && !x.Drained {
 			row.Have++
-			c.pool(x.Pool).load.able += c.able(name, now)
+			c.pool(x.Pool).load.availableSeconds += c.availableSeconds(name, now)
 		}
 	}
 	for _, row := range rows {
 		if !row.Headroom {
-			c.wants(row, now)
+			c.setTargets(row, now)
 		}
 	}
-	c.keepTurns(rows, now)
-	c.expect(rows, now)
-	c.lack(rows, instances, now)
-	c.tellSizes(rows, now)
+	c.retainForBusyPeriods(rows, now)
+	c.setExpected(rows, now)
+	c.setShortages(rows, instances, now)
+	c.logSizes(rows, now)
 	return pools, instances
 }
 
-// sizeToldEvery bounds how often a pool's size is told.
-const sizeToldEvery = time.Second
+// sizeLogInterval is the minimum interval between two log lines about the size of a pool.
+const sizeLogInterval = time.Second
 
-// tellSizes tells what each pool wants and why, once it has changed by more than it moves all the time.
-func (c *session) tellSizes(rows map[string]*upkeep.Pool, now time.Time) {
+// logSizes logs the targets of each pool and their inputs after a significant change.
+func (c *session) logSizes(rows map[string]*upkeep.Pool, now time.Time) {
 	for name, row := range rows {
 		p := c.pool(name)
-		if row.Headroom || now.Sub(p.toldAt) < sizeToldEvery || !changedMuch(p.told, *row) {
+		if row.Headroom || now.Sub(p.toldAt) < sizeLogInterval || !changedSignificantly(p.told, *row) {
 			continue
 		}
 		p.told, p.toldAt = *row, now
 		need, used, known := c.turns.Whole(name, now)
 		c.emit(event.PoolSized, event.Subject{Entry: c.Entry}, "pool=%s have=%d want=%.0f keep=%.0f idle=%.0f soon=%.0f lasting=%.0f running=%.0f waiting=%.0f turn=%.0f used=%.0f known=%t",
-			name, row.Have, row.Want, row.Keep, row.Idle, row.Soon, p.load.lasting, p.load.running, p.load.waitingRoom, need, used, known)
+			name, row.Have, row.Want, row.Keep, row.Idle, row.Soon, p.load.lasting, p.load.running, p.load.waitingCapacity, need, used, known)
 	}
 }
 
-// changedMuch says whether a pool's size has changed by an eighth and by two instances.
-func changedMuch(before, now upkeep.Pool) bool {
+// changedSignificantly reports whether any of the pool's targets or its size has changed by more than an eighth and by at least two instances.
+func changedSignificantly(before, now upkeep.Pool) bool {
 	for _, x := range [...][2]float64{{before.Want, now.Want}, {before.Idle, now.Idle}, {before.Soon, now.Soon}, {float64(before.Have), float64(now.Have)}} {
-		if d := math.Abs(x[0] - x[1]); d >= 2 && d > max(x[0], x[1])/8 {
+		if change := math.Abs(x[0] - x[1]); change >= 2 && change > max(x[0], x[1])/8 {
 			return true
 		}
 	}
 	return false
 }
 
-// instanceNames returns the names of all instances in their order, by which equal ones are told apart: the same one is chosen with each look.
+// instanceNames returns the sorted names of all instances. Ties between equivalent instances are broken by this order, so that each pass chooses the
+// same one.
 func (c *session) instanceNames() []string {
 	if len(c.names) != len(c.machines) {
 		c.names = slices.Sorted(maps.Keys(c.machines))
@@ -138,8 +139,8 @@
 	return c.names
 }
 
-// fixed says whether an instance is on its way, or could lately not be moved.
-func (c *session) fixed(machine string, now time.Time) bool {
+// immovable reports whether an instance is already moving, or has recently failed to move.
+func (c *session) immovable(machine string, now time.Time) bool {
 	if s := c.moves[machine]; s != nil {
 		return true
 	}
@@ -149,7 +150,7 @@
 	return false
 }
 
-// inWave says whether an instance is being emptied for its upkeep, or away.
+// inWave reports whether an instance is being emptied for its maintenance or is under maintenance.
 func (c *session) inWave(machine string) bool {
 	for _, row := range c.waveRows {
 		if row.steps[machine] != nil {
@@ -159,75 +160,76 @@
 	return false
 }
 
-// beginMove takes an instance out of its pool.
-func (c *session) beginMove(m upkeep.Move, now time.Time) {
+// startMove starts to move an instance out of its pool: its worker gets no new tasks.
+func (c *session) startMove(m upkeep.Move, now time.Time) {
 	s := &moveStep{to: m.To, since: now}
-	if w := c.lifeOf(m.Instance); w != nil {
+	if w := c.workerOn(m.Instance); w != nil {
 		w.out = true
 		s.life = w.Life
 	}
 	c.moves[m.Instance] = s
-	c.carryMove(m.Instance, s, now)
+	c.advanceMove(m.Instance, s, now)
 }
 
-// carryMoves goes on with the moves that have begun: those into pools that are in use first, then those into the headroom.
-func (c *session) carryMoves(now time.Time) {
-	c.desk.refused = false
+// advanceMoves continues the pending moves: those into pools that serve load first, then those into the headroom pool.
+func (c *session) advanceMoves(now time.Time) {
+	c.desk.denied = false
 	for _, parks := range [...]bool{false, true} {
 		for machine, s := range c.moves {
 			if c.config.Pools[s.to].Headroom == parks {
-				c.carryMove(machine, s, now)
+				c.advanceMove(machine, s, now)
 			}
 		}
 	}
 }
 
-// dropQueued forgets the moves whose calls have not left: whether they are still wanted is decided anew.
-func (c *session) dropQueued() {
+// cancelQueuedMoves cancels the moves whose calls still wait for the rate limit. The next sizing pass decides whether they are still wanted.
+func (c *session) cancelQueuedMoves() {
 	for machine, s := range c.moves {
 		if s.queued && s.notBefore.IsZero() {
-			c.stay(machine, s)
+			c.cancelMove(machine, s)
 		}
 	}
 }
 
-// dropMoves leaves the instances where they are for which no move was asked.
-func (c *session) dropMoves() {
+// cancelUnsentMoves cancels the moves for which no call has been made.
+func (c *session) cancelUnsentMoves() {
 	for machine, s := range c.moves {
-		if !s.asking && !s.moved && s.notBefore.IsZero() {
-			c.endMove(machine, s)
+		if !s.inFlight && !s.moved && s.notBefore.IsZero() {
+			c.postponeMove(machine, s)
 		}
 	}
 }
 
-func (c *session) carryMove(machine string, s *moveStep, now time.Time) {
+func (c *session) advanceMove(machine string, s *moveStep, now time.Time) {
 	switch {
-	case s.asking || now.Before(s.notBefore):
+	case s.inFlight || now.Before(s.notBefore):
 	case s.moved:
-		c.awaitMoved(machine, s, now)
+		c.checkArrival(machine, s, now)
 	case s.life != "" && c.workers[s.life] == nil:
-		c.endMove(machine, s) // its life has left the tables meanwhile, and what runs there now is not known
+		c.postponeMove(machine, s) // the incarnation was removed in the meantime, and it is not known what runs on the instance now
 	case c.workers[s.life] != nil && !c.workers[s.life].empty():
-		if now.Sub(s.since) > patience {
-			c.endMove(machine, s) // its work takes too long; another one may go
+		if now.Sub(s.since) > shortWorkGrace {
+			c.postponeMove(machine, s) // its tasks take too long to end; another instance may be moved instead
 		}
 	default:
-		c.askMove(machine, s)
+		c.requestMove(machine, s)
 	}
 }
 
-// awaitMoved ends the move once the instance has arrived, or is off.
-func (c *session) awaitMoved(machine string, s *moveStep, now time.Time) {
-	w := c.workerOf(machine)
+// checkArrival completes the move once the instance has reported from its new pool, or has had the time to power off in the headroom pool. It gives
+// up waiting after moveArrivalMargin.
+func (c *session) checkArrival(machine string, s *moveStep, now time.Time) {
+	w := c.listedWorkerOn(machine)
 	arrived := w != nil && w.Life != s.life && w.heard
 	off := c.config.Pools[s.to].Headroom && now.Sub(s.since) > c.Bounds().Move
-	if arrived || off || now.Sub(s.since) > c.Bounds().Move+moveLost {
+	if arrived || off || now.Sub(s.since) > c.Bounds().Move+moveArrivalMargin {
 		delete(c.moves, machine)
 	}
 }
 
-// stay leaves the instance where it is.
-func (c *session) stay(machine string, s *moveStep) {
+// cancelMove leaves the instance in its pool.
+func (c *session) cancelMove(machine string, s *moveStep) {
 	if w := c.workers[s.life]; w != nil {
 		w.out = false
 		c.dirtyPool(w.Pool)
@@ -235,13 +237,13 @@
 	delete(c.moves, machine)
 }
 
-// endMove leaves the instance where it is for a while.
-func (c *session) endMove(machine string, s *moveStep) {
-	c.stay(machine, s)
-	c.unmovable[machine] = c.now().Add(moveAgain)
+// postponeMove cancels the move and excludes the instance from moves for moveRetryPause.
+func (c *session) postponeMove(machine string, s *moveStep) {
+	c.cancelMove(machine, s)
+	c.unmovable[machine] = c.now().Add(moveRetryPause)
 }
 
-func (c *session) askMove(machine string, s *moveStep) {
+func (c *session) requestMove(machine string, s *moveStep) {
 	now := c.now()
 	if !c.confirmed(now) {
 		return
@@ -250,30 +252,30 @@
 	if s.queued {
 		return
 	}
-	s.asking = true
+	s.inFlight = true
 	c.work.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
 		err := c.whileConfirmed(func() error { return c.Machines.Move(ctx, machine, s.to, c.term.Fence) })
-		c.post(moveAsked{machine: machine, step: s, err: err})
+		c.post(moveAnswered{machine: machine, step: s, err: err})
 	})
 }
 
-// moveAsked is the answer to a move, or the lack of one.
-type moveAsked struct {
+// moveAnswered is the result of a call to move an instance.
+type moveAnswered struct {
 	machine string
 	step    *moveStep
 	err     error
 }
 
-func (m moveAsked) apply(c *session) {
+func (m moveAnswered) apply(c *session) {
 	s := m.step
-	s.asking = false
+	s.inFlight = false
 	now := c.now()
 	c.desk.done()
 	defer func() {
-		if c.desk.refused {
-			c.carryMoves(now)
+		if c.desk.denied {
+			c.advanceMoves(now)
 		}
 	}()
 	switch {
@@ -295,13 +297,13 @@
 	case errors.Is(m.err, ErrTooMany):
 		c.desk.rest(now)
 		if s.notBefore.IsZero() {
-			c.stay(m.machine, s) // decided anew when the interface takes calls again
+			c.cancelMove(m.machine, s) // decided again when the interface accepts calls
 		}
 	case errors.Is(m.err, ErrBusy), errors.Is(m.err, ErrWave):
 		c.emit(event.UpkeepRefused, event.Subject{Instance: m.machine}, "move to=%s err=%q", s.to, m.err)
-		c.endMove(m.machine, s)
-	default: // it may have been done: the same call again does no harm
+		c.postponeMove(m.machine, s)
+	default: // the move may have been carried out; repeating the call is harmless
 		c.emit(event.UpkeepRefused, event.Subject{Instance: m.machine}, "move to=%s err=%q", s.to, m.err)
-		s.notBefore = now.Add(moveAgain)
+		s.notBefore = now.Add(moveRetryPause)
 	}
 }
--- a/pool/size_test.go
+++ b/pool/size_test.go
@@ -15,7 +15,8 @@
 	"rackstep.dev/job"
 )
 
-// TestNothingMovesOrIsMaintainedWhileTheStoreFails: what an instance comes back as would not be known.
+// TestNothingMovesOrIsMaintainedWhileTheStoreFails guards against instances being moved or maintained while the store fails: the scheduler could not
+// learn of the incarnations that they return with.
 func TestNothingMovesOrIsMaintainedWhileTheStoreFails(t *testing.T) {
 	for _, fails := range []bool{false, true} {
 		t.Run(fmt.Sprint(fails), func(t *testing.T) {
@@ -24,7 +25,7 @@
 				b := newBench(c, nil, "w1")
 				b.config.Pools = map[string]job.Pool{"p": {}, "spare": {Headroom: true}}
 				b.machines["m-w1"] = Machine{Name: "m-w1", Pool: "p", ID: "w1"}
-				var moved, maintained atomic.Int64 // calls are made at the same time
+				var moved, maintained atomic.Int64 // calls are concurrent
 				wave := Wave{Number: 1, Most: 1, Within: time.Minute}
 				for i := range 4 {
 					m := fmt.Sprintf("off%d", i)
@@ -43,7 +44,7 @@
 					b.sizePools(time.Now())
 					synctest.Wait()
 					if !fails {
-						b.keeps() // an upkeep is asked for once it is kept that it will be
+						b.keeps() // maintenance is requested only after the request is stored
 					}
 				}
 				c.Assert(moved.Load() > 0, quicktest.Equals, !fails)
--- a/pool/upkeep.go
+++ b/pool/upkeep.go
@@ -17,80 +17,82 @@
 	"rackstep.dev/upkeep"
 )
 
-// Times of a wave.
+// Timing of maintenance waves.
 const (
-	// callAgain is the pause before an instance that refused, or gave no answer, is asked again.
-	callAgain = 500 * time.Millisecond
-	// upkeepMargin is added to the time of an upkeep, for the way of the answer that it is counted from.
-	upkeepMargin = 200 * time.Millisecond
-	// patience is how long an instance is left to finish short work before the work is stopped for its upkeep.
-	patience = 2500 * time.Millisecond
-	// waitsFor is the part of a wave's time in which it waits: for a store that fails, and for places for what lasts.
-	waitsFor = 0.6
+	// maintenanceRetryPause is the pause after a maintenance call that was refused or not answered.
+	maintenanceRetryPause = 500 * time.Millisecond
+	// maintenanceMargin is added to the stated duration of a maintenance, which is counted from the answer to the call, to allow for the delivery
+	// time of that answer.
+	maintenanceMargin = 200 * time.Millisecond
+	// shortWorkGrace is how long the tasks of an instance may take to end before they are stopped for its maintenance.
+	shortWorkGrace = 2500 * time.Millisecond
+	// maxWaitShare is the share of a wave's time during which it waits for a failing store to recover, and for capacity for the long-running tasks
+	// that have to be moved.
+	maxWaitShare = 0.6
 )
 
-// waveRow is a row of the table of waves.
+// waveState is the state of a maintenance wave.
 type waveRow struct {
 	Wave
-	// since is when this leader learned of the wave, earlier how long earlier leaders had known of it by what was kept.
+	// since is the time at which this leader learned of the wave, earlier the stored time for which earlier leaders had known it.
 	since   time.Time
 	earlier time.Duration
-	// begun are the instances whose upkeep has begun, kept so that none is emptied twice.
+	// begun holds the instances whose maintenance has begun. It is stored, so that no instance is emptied twice.
 	begun map[string]bool
-	// steps are the instances being emptied or away.
-	steps map[string]*upkeepStep
-	// asked are the instances whose upkeep this leader or an earlier one may have asked for, without knowing that it has
-	// begun. That is kept before the call leaves: one that is held up may still be carried out under the next leader.
-	asked map[string]bool
-	// version rises with each change of begun and asked, keptVersion is the newest that is kept.
-	version, keptVersion int
-	// askedAt is the version since which an instance is in asked.
-	askedAt map[string]int
-	// running and finished say which state the operator reads, writing that another is on its way.
+	// steps holds the instances that are being emptied or are under maintenance.
+	steps map[string]*maintenanceStep
+	// requested holds the instances whose maintenance this leader or an earlier one may have requested without learning that it has begun. It is
+	// stored before the call is sent, because a delayed call may still be carried out under the next leader.
+	requested map[string]bool
+	// version is incremented with each change of begun and requested. storedVersion is the latest version in the store.
+	version, storedVersion int
+	// requestedVersion holds the version in which an instance was added to requested.
+	requestedVersion map[string]int
+	// running and finished are the state that is published for the operator. writing means that an update of it is in progress.
 	running  bool
 	finished bool
 	writing  bool
 }
 
-// ask notes that the upkeep is about to be asked for; it says whether that is kept.
-func (w *waveRow) ask(machine string) bool {
-	if !w.asked[machine] {
+// markRequested records that a maintenance call is about to be made, and reports whether this is already stored.
+func (w *waveRow) markRequested(machine string) bool {
+	if !w.requested[machine] {
 		w.version++
-		w.asked[machine], w.askedAt[machine] = true, w.version
+		w.requested[machine], w.requestedVersion[machine] = true, w.version
 	}
-	return w.keptVersion >= w.askedAt[machine]
+	return w.storedVersion >= w.requestedVersion[machine]
 }
 
-// unask notes that the upkeep has surely not begun.
-func (w *waveRow) unask(machine string) {
+// clearRequested records that the maintenance has certainly not begun.
+func (w *waveRow) clearRequested(machine string) {
 	w.version++
-	delete(w.asked, machine)
+	delete(w.requested, machine)
 }
 
-// begin notes that the upkeep has begun, or will never have to.
+// markBegun records that the maintenance has begun, or is not needed any more.
 func (w *waveRow) begin(machine string) {
 	if !w.begun[machine] {
 		w.version++
 	}
 	w.begun[machine] = true
-	delete(w.asked, machine)
+	delete(w.requested, machine)
 }
 
-// upkeepStep is one instance on its way through a wave.
-type upkeepStep struct {
-	// life is the one to be ended.
+// maintenanceStep is the progress of one instance through a wave.
+type maintenanceStep struct {
+	// life is the incarnation that the maintenance ends.
 	life  string
 	since time.Time
-	// asking says that a call is on its way, doubt that one got no answer, away that the upkeep has begun.
-	asking, doubt, away bool
-	// pressed says that the wave has no time to wait for a place for what must leave.
-	pressed bool
-	// begun is when the call was answered.
+	// inFlight means that a call is in progress, uncertain that a call got no answer, away that the maintenance has begun.
+	inFlight, uncertain, away bool
+	// noTimeLeft means that the wave can't wait any longer for capacity for the tasks that have to be moved.
+	noTimeLeft bool
+	// begun is the time of the answer to the call.
 	begun     time.Time
 	notBefore time.Time
 }
 
-// waveRead is a request for a wave.
+// waveRequested is a request for a maintenance wave.
 type waveRead struct{ wave Wave }
 
 func (m waveRead) apply(c *session) {
@@ -105,22 +107,22 @@
 func (c *session) wave(n int64) *waveRow {
 	row := c.waveRows[n]
 	if row == nil {
-		row = &waveRow{begun: make(map[string]bool), asked: make(map[string]bool), askedAt: make(map[string]int), steps: make(map[string]*upkeepStep)}
+		row = &waveRow{begun: make(map[string]bool), requested: make(map[string]bool), requestedVersion: make(map[string]int), steps: make(map[string]*maintenanceStep)}
 		row.Number = n
 		c.waveRows[n] = row
 	}
 	return row
 }
 
-// keptWave is what is kept of a wave.
+// storedWave is the stored form of a wave.
 type keptWave struct {
 	Begun []string `cbor:"1,keyasint,omitempty"`
-	// Known is how long the wave had been known.
+	// Known is the time for which the wave had been known.
 	Known time.Duration `cbor:"2,keyasint,omitempty"`
 	Asked []string      `cbor:"3,keyasint,omitempty"`
 }
 
-// restoreWave reads what an earlier leader kept of a wave.
+// restoreWave restores the wave that an earlier leader stored.
 func (c *session) restoreWave(r feed.KeyedRecord) {
 	var kept keptWave
 	n, err := strconv.ParseInt(r.Key[len(waveKey):], 10, 64)
@@ -133,32 +135,32 @@
 		row.begun[m] = true
 	}
 	for _, m := range kept.Asked {
-		row.asked[m] = true
+		row.requested[m] = true
 	}
 }
 
-// known returns how long the wave has been known.
+// known returns the time for which the wave has been known, to this leader and earlier ones.
 func (w *waveRow) known(now time.Time) time.Duration { return w.earlier + now.Sub(w.since) }
 
 func (c *session) wavesDirty() bool {
 	for _, row := range c.waveRows {
-		if row.version > row.keptVersion {
+		if row.version > row.storedVersion {
 			return true
 		}
 	}
 	return false
 }
 
-// keepWaves adds what has changed of the waves to a batch.
+// storeWaves adds the changed waves to a batch.
 func (c *session) keepWaves(done *commitEnded, records []feed.KeyedRecord) []feed.KeyedRecord {
 	for n, row := range c.waveRows {
-		if row.version <= row.keptVersion {
+		if row.version <= row.storedVersion {
 			continue
 		}
-		kept := keptWave{Begun: slices.Sorted(maps.Keys(row.begun)), Known: row.known(c.now()), Asked: slices.Sorted(maps.Keys(row.asked))}
+		kept := keptWave{Begun: slices.Sorted(maps.Keys(row.begun)), Known: row.known(c.now()), Asked: slices.Sorted(maps.Keys(row.requested))}
 		value, err := job.Encode(kept)
 		if err != nil {
-			c.emit(event.RecordRefused, event.Subject{}, "wave=%d not kept: %v", n, err)
+			c.emit(event.RecordRefused, event.Subject{}, "wave=%d not stored: %v", n, err)
 			continue
 		}
 		records = append(records, feed.KeyedRecord{Key: waveKeyOf(n), Value: value})
@@ -167,77 +169,77 @@
 	return records
 }
 
-// waveKeyOf returns the key of what is kept of a wave.
+// waveKeyOf returns the key of the stored record of a wave.
 func waveKeyOf(n int64) string { return waveKey + strconv.FormatInt(n, 10) }
 
 func (c *session) waveKept(n int64, version int) {
-	c.waveRows[n].keptVersion = max(c.waveRows[n].keptVersion, version)
+	c.waveRows[n].storedVersion = max(c.waveRows[n].storedVersion, version)
 }
 
-// runWaves takes each wave's next instances out, empties them and has them maintained.
+// runWaves advances all waves: it selects the next instances, empties them and requests their maintenance.
 func (c *session) runWaves(now time.Time) {
 	for _, row := range c.waveRows {
 		if row.finished || row.since.IsZero() {
 			continue
 		}
 		c.runWave(row, now)
-		c.tellWave(row)
+		c.publishWave(row)
 	}
 }
 
 func (c *session) runWave(row *waveRow, now time.Time) {
 	if now.Before(c.aloneFrom) || c.machinesRead.Before(c.aloneFrom) {
-		return // what the earlier leader has begun is not known yet
+		return // the requests of the earlier leader are not known yet
 	}
-	for m := range row.asked {
+	for m := range row.requested {
 		if row.steps[m] == nil && !row.begun[m] {
-			c.takeOut(row, m, now) // by an earlier leader
+			c.startEmptying(row, m, now) // requested by an earlier leader
 		}
 	}
 	c.markDue(row)
 	away := c.countAway(row)
-	fails := c.storeFails(now) && row.known(now) < time.Duration(waitsFor*float64(row.Within))
-	if !fails {
-		for _, x := range c.nextOfWave(row, now) {
-			c.takeOut(row, x.Name, now)
+	storeFailing := c.storeFails(now) && row.known(now) < time.Duration(maxWaitShare*float64(row.Within))
+	if !storeFailing {
+		for _, x := range c.nextInWave(row, now) {
+			c.startEmptying(row, x.Name, now)
 		}
 	}
 	for m, s := range row.steps {
-		if s.away || s.asking || now.Before(s.notBefore) {
+		if s.away || s.inFlight || now.Before(s.notBefore) {
 			continue
 		}
-		s.pressed = row.known(now) >= time.Duration(waitsFor*float64(row.Within))
-		if !c.emptied(m, s, now) || (fails && !s.doubt) {
+		s.noTimeLeft = row.known(now) >= time.Duration(maxWaitShare*float64(row.Within))
+		if !c.tryEmpty(m, s, now) || (storeFailing && !s.uncertain) {
 			continue
 		}
-		counted := s.doubt || row.asked[m]
-		if counted || away < max(row.Most, 1) {
-			if !counted {
+		alreadyCounted := s.uncertain || row.requested[m]
+		if alreadyCounted || away < max(row.Most, 1) {
+			if !alreadyCounted {
 				away++
 			}
-			if row.ask(m) {
-				c.askUpkeep(row, m, s)
+			if row.markRequested(m) {
+				c.requestMaintenance(row, m, s)
 			}
 		}
 	}
 }
 
-// markDue tells placement which instances the wave has still to empty.
+// markDue marks the workers of the instances whose maintenance has not begun yet, for placement.
 func (c *session) markDue(row *waveRow) {
 	for _, m := range row.Machines {
-		if w := c.workerOf(m); w != nil {
+		if w := c.listedWorkerOn(m); w != nil {
 			w.room.Due = !row.begun[m]
 		}
 	}
 }
 
-// nextOfWave returns the instances of the wave to be emptied now.
-func (c *session) nextOfWave(row *waveRow, now time.Time) []upkeep.Candidate {
+// nextInWave returns the instances of the wave that are to be emptied next.
+func (c *session) nextInWave(row *waveRow, now time.Time) []upkeep.Candidate {
 	w := upkeep.Wave{Most: row.Most, Out: len(row.steps), Left: len(row.steps), Within: row.Within, Since: row.known(now), Each: c.Bounds().Upkeep}
 	var waiting []upkeep.Candidate
 	for _, m := range row.Machines {
 		if s := row.steps[m]; s != nil {
-			if k := c.workers[s.life]; k != nil && !s.away && k.room.Serving+k.room.Filling > 0 {
+			if incarnation := c.workers[s.life]; incarnation != nil && !s.away && incarnation.room.Serving+incarnation.room.Filling > 0 {
 				w.OutLasting++
 			}
 			continue
@@ -250,8 +252,8 @@
 			continue
 		}
 		x := upkeep.Candidate{Name: m, Pool: c.machines[m].Pool}
-		if k := c.workerOf(m); k != nil {
-			x.Runs, x.Lasting = len(k.runs), k.room.Serving+k.room.Filling
+		if incarnation := c.listedWorkerOn(m); incarnation != nil {
+			x.Runs, x.Lasting = len(incarnation.runs), incarnation.room.Serving+incarnation.room.Filling
 		}
 		waiting = append(waiting, x)
 	}
@@ -261,65 +263,67 @@
 	return upkeep.Next(w, waiting, c.surplus)
 }
 
-// countAway counts the instances that are away for their upkeep, and ends the steps of those that are back.
+// countAway returns the number of instances that are or may be under maintenance, and removes the steps of those that have returned.
 func (c *session) countAway(row *waveRow) int {
 	away := 0
 	for m, s := range row.steps {
 		switch {
-		case s.away && c.back(m, s):
+		case s.away && c.maintenanceOver(m, s):
 			delete(row.steps, m)
-		case s.counts() || row.asked[m]:
+		case s.mayBeAway() || row.requested[m]:
 			away++
 		}
 	}
 	for _, m := range row.Machines {
-		if s := row.steps[m]; (s == nil || !s.counts()) && c.machines[m].State == MachineInUpkeep {
-			away++ // an earlier leader began it
+		if s := row.steps[m]; (s == nil || !s.mayBeAway()) && c.machines[m].State == MachineInUpkeep {
+			away++ // begun by an earlier leader
 		}
 	}
 	return away
 }
 
-// counts says whether the instance is away, or may be.
-func (s *upkeepStep) counts() bool { return s.asking || s.doubt || s.away }
+// mayBeAway reports whether the instance is or may be under maintenance.
+func (s *maintenanceStep) mayBeAway() bool { return s.inFlight || s.uncertain || s.away }
 
-// back says whether the upkeep is over: its time has passed, and a new life or the machine interface says so.
-func (c *session) back(machine string, s *upkeepStep) bool {
-	over := s.begun.Add(c.Bounds().Upkeep + upkeepMargin)
-	if c.now().Before(over) {
+// maintenanceOver reports whether the maintenance has ended: its duration has passed, and either a new incarnation or the machine interface confirms
+// it.
+func (c *session) maintenanceOver(machine string, s *maintenanceStep) bool {
+	end := s.begun.Add(c.Bounds().Upkeep + maintenanceMargin)
+	if c.now().Before(end) {
 		return false
 	}
-	if w := c.workerOf(machine); w != nil && w.Life != s.life && w.since.After(s.begun) {
+	if w := c.listedWorkerOn(machine); w != nil && w.Life != s.life && w.since.After(s.begun) {
 		return true
 	}
 	x, ok := c.machines[machine]
-	return ok && c.machinesRead.After(over) && x.State != MachineInUpkeep
+	return ok && c.machinesRead.After(end) && x.State != MachineInUpkeep
 }
 
-// takeOut begins to empty an instance. One whose upkeep was begun by an earlier leader that did not keep it is asked
-// for again: that call may be answered as if it were the first.
-func (c *session) takeOut(row *waveRow, machine string, now time.Time) {
+// startEmptying starts to empty an instance. If an earlier leader began its maintenance without storing that, the maintenance is requested again: the
+// repeated call may be answered like the first one.
+func (c *session) startEmptying(row *waveRow, machine string, now time.Time) {
 	begun := c.machines[machine].State == MachineInUpkeep && !c.inOtherWave(row, machine)
-	s := &upkeepStep{since: now, doubt: row.asked[machine] || begun}
-	if w := c.lifeOf(machine); w != nil {
+	s := &maintenanceStep{since: now, uncertain: row.requested[machine] || begun}
+	if w := c.workerOn(machine); w != nil {
 		w.out = true
 		s.life = w.Life
 	}
 	row.steps[machine] = s
 }
 
-// inOtherWave says whether an instance that is in upkeep may be so for another wave: the machine interface does not say for which. It is then not taken for begun
-// here, where it would count as away already and be asked for beyond the cap.
+// inOtherWave reports whether another wave has begun or requested the maintenance of the instance. The machine interface does not tell for which wave
+// an instance is under maintenance. Without this check, the instance would be taken for one already begun by this wave, and its maintenance would be
+// requested in excess of the wave's limit.
 func (c *session) inOtherWave(row *waveRow, machine string) bool {
 	for _, o := range c.waveRows {
-		if o != row && (o.begun[machine] || o.asked[machine]) {
+		if o != row && (o.begun[machine] || o.requested[machine]) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *session) workerOf(machine string) *worker {
+func (c *session) listedWorkerOn(machine string) *worker {
 	for _, w := range c.lives[machine] {
 		if w.listed {
 			return w
@@ -328,9 +332,9 @@
 	return nil
 }
 
-// lifeOf returns the life of an instance, also one that is no longer listed, or nil.
-func (c *session) lifeOf(machine string) *worker {
-	if w := c.workerOf(machine); w != nil {
+// workerOn returns the incarnation on an instance, preferring a listed one, or nil.
+func (c *session) workerOn(machine string) *worker {
+	if w := c.listedWorkerOn(machine); w != nil {
 		return w
 	}
 	if lives := c.lives[machine]; len(lives) > 0 {
@@ -339,24 +343,25 @@
 	return nil
 }
 
-// nothingRuns says whether surely nothing runs on an instance of which no life is in the tables: it has none, the one that it
-// has is known to have ended, or all that an earlier leader leased is over.
-func (c *session) nothingRuns(machine string, now time.Time) bool {
+// isKnownIdle reports whether an instance without a known incarnation certainly runs nothing: it has no worker, its worker is known to have ended, or
+// all leases granted by earlier leaders have expired.
+func (c *session) isKnownIdle(machine string, now time.Time) bool {
 	x := c.machines[machine]
 	return x.ID == "" || c.over[x.ID] || c.term.Number == 1 || c.doubtOver(now)
 }
 
-// emptied says whether nothing runs on the instance that its upkeep would end without leave; it stops what it may.
-func (c *session) emptied(machine string, s *upkeepStep, now time.Time) bool {
+// tryEmpty reports whether the instance is empty, so that its maintenance interrupts nothing. It stops long-running tasks that their step may miss
+// and that fit elsewhere, or that the wave can't wait for, and other tasks after shortWorkGrace.
+func (c *session) tryEmpty(machine string, s *maintenanceStep, now time.Time) bool {
 	w := c.workers[s.life]
 	if w == nil {
-		w = c.lifeOf(machine) // it may have been restarted, or listed only now
+		w = c.workerOn(machine) // it may have been restarted or listed in the meantime
 	}
 	if w == nil {
-		return c.nothingRuns(machine, now)
+		return c.isKnownIdle(machine, now)
 	}
 	if !w.heard || w.unread > 0 || !w.silentSince.IsZero() {
-		return false // nobody knows what runs there
+		return false // it is not known what runs there
 	}
 	s.life = w.Life
 	w.out = true
@@ -364,20 +369,20 @@
 		switch {
 		case t.Stopping:
 		case t.Spec().Lasting:
-			if c.mayTakeAway(t, now) && (s.pressed || c.hasPlace(t, now)) {
+			if c.mayTakeAway(t, now) && (s.noTimeLeft || c.fitsElsewhere(t, now)) {
 				c.stopTask(w, t, "upkeep")
 			}
-		case now.Sub(s.since) > patience:
+		case now.Sub(s.since) > shortWorkGrace:
 			c.stopTask(w, t, "upkeep")
 		}
 	}
 	return len(w.runs) == 0
 }
 
-// hasPlace says whether another worker could take the task at once.
-func (c *session) hasPlace(t *job.Task, now time.Time) bool {
+// fitsElsewhere reports whether another worker has capacity for the task now.
+func (c *session) fitsElsewhere(t *job.Task, now time.Time) bool {
 	g := &place.Group{Job: t.Job, Time: t.Time, Step: t.Step, Lasting: true}
-	c.countGroup(g, t.Spec())
+	c.countPlacedTasks(g, t.Spec())
 	pool := c.queue(t.Job).Pool
 	for _, w := range c.workers {
 		if w.Pool == pool && w.usable(now) && g.Fits(&w.room) > 0 {
@@ -387,36 +392,36 @@
 	return false
 }
 
-// askUpkeep has the instance maintained.
-func (c *session) askUpkeep(row *waveRow, machine string, s *upkeepStep) {
+// requestMaintenance calls the machine interface to begin the maintenance of the instance.
+func (c *session) requestMaintenance(row *waveRow, machine string, s *maintenanceStep) {
 	now := c.now()
 	if !c.confirmed(now) || !c.desk.take(c.Machines.PerSecond, now) {
 		return
 	}
-	s.asking = true
+	s.inFlight = true
 	c.work.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
 		err := c.whileConfirmed(func() error { return c.Machines.Upkeep(ctx, machine, row.Number, c.term.Fence) })
-		c.post(upkeepAsked{row: row, machine: machine, step: s, err: err})
+		c.post(maintenanceAnswered{row: row, machine: machine, step: s, err: err})
 	})
 }
 
-// upkeepAsked is the answer to a call for an upkeep, or the lack of one.
-type upkeepAsked struct {
+// maintenanceAnswered is the result of a maintenance call.
+type maintenanceAnswered struct {
 	row     *waveRow
 	machine string
-	step    *upkeepStep
+	step    *maintenanceStep
 	err     error
 }
 
-func (m upkeepAsked) apply(c *session) {
-	m.step.asking = false
+func (m maintenanceAnswered) apply(c *session) {
+	m.step.inFlight = false
 	now := c.now()
 	c.desk.done()
 	switch {
 	case m.err == nil:
-		m.step.away, m.step.doubt, m.step.begun = true, false, now
+		m.step.away, m.step.uncertain, m.step.begun = true, false, now
 		m.row.begin(m.machine)
 		if w := c.workers[m.step.life]; w != nil {
 			c.lose(w, "its upkeep has begun")
@@ -425,25 +430,25 @@
 		c.emit(event.UpkeepBegun, event.Subject{Instance: m.machine}, "wave=%d done=%d of %d", m.row.Number, len(m.row.begun), len(m.row.Machines))
 		return
 	case errors.Is(m.err, ErrTooMany):
-		c.desk.rest(now) // the step stays as it was
+		c.desk.rest(now) // the step is retried unchanged
 	case errors.Is(m.err, ErrBusy):
-		m.step.doubt = false
-		m.row.unask(m.machine) // it has not begun, and no call with a lower token can begin it any more
+		m.step.uncertain = false
+		m.row.clearRequested(m.machine) // it has not begun, and calls with a lower fencing token can't begin it any more
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
 	case errors.Is(m.err, ErrWave):
-		m.row.begin(m.machine) // it is gone, or was never part of it
+		m.row.begin(m.machine) // the instance no longer exists or does not belong to the wave
 		delete(m.row.steps, m.machine)
 	default:
-		m.step.doubt = true
+		m.step.uncertain = true
 	}
-	m.step.notBefore = now.Add(callAgain)
+	m.step.notBefore = now.Add(maintenanceRetryPause)
 	c.emit(event.UpkeepRefused, event.Subject{Instance: m.machine}, "wave=%d err=%q", m.row.Number, m.err)
 }
 
-// tellWave writes the wave's state for the operator when it has changed.
-func (c *session) tellWave(row *waveRow) {
-	done := len(row.begun) >= len(row.Machines) && row.keptVersion >= row.version
+// publishWave writes the state of the wave for the operator after a change.
+func (c *session) publishWave(row *waveRow) {
+	done := len(row.begun) >= len(row.Machines) && row.storedVersion >= row.version
 	if row.writing || (row.running && !done) {
 		return
 	}
@@ -452,21 +457,21 @@
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
 		err := c.PutWave(ctx, row.Number, done)
-		c.post(waveTold{row: row, done: done, err: err})
+		c.post(wavePublished{row: row, done: done, err: err})
 	})
 }
 
-// waveTold says that the operator can read the wave's state.
-type waveTold struct {
+// wavePublished is the result of writing the state of a wave.
+type wavePublished struct {
 	row  *waveRow
 	done bool
 	err  error
 }
 
-func (m waveTold) apply(c *session) {
+func (m wavePublished) apply(c *session) {
 	m.row.writing = false
 	if m.err != nil {
-		return // written again with the next tick
+		return // retried with the next tick
 	}
 	m.row.running = true
 	m.row.finished = m.done
--- a/pool/upkeep_test.go
+++ b/pool/upkeep_test.go
@@ -15,15 +15,16 @@
 	"rackstep.dev/feed"
 )
 
-// TestAnUpkeepThatAnEarlierLeaderBeganCounts: the earlier leader began two upkeeps and was lost before it kept that, so
-// that only the machine interface knows. Whatever that answers to a second call, no third one may begin beside them.
+// TestAnUpkeepThatAnEarlierLeaderBeganCounts guards against exceeding the limit of a wave after a takeover. The earlier leader began two maintenances
+// and was lost before it stored that, so that only the machine interface knows. Whatever it answers to a repeated call, no third maintenance may
+// begin.
 func TestAnUpkeepThatAnEarlierLeaderBeganCounts(t *testing.T) {
 	for _, answer := range []error{nil, ErrBusy, context.DeadlineExceeded} {
 		t.Run(fmt.Sprint(answer), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				b := newBench(c, nil)
-				var mu sync.Mutex // calls are made at the same time
+				var mu sync.Mutex // calls are concurrent
 				var asked []string
 				b.Machines.Upkeep = func(_ context.Context, machine string, _, _ int64) error {
 					mu.Lock()
@@ -56,8 +57,8 @@
 	}
 }
 
-// TestAnUpkeepIsAskedForOnceTheNextLeaderWillKnow: a call that is held up may be carried out under the next leader, which has
-// to count it.
+// TestAnUpkeepIsAskedForOnceTheNextLeaderWillKnow checks that a maintenance call is made only after the request is stored: a delayed call may be
+// carried out under the next leader, which has to count it.
 func TestAnUpkeepIsAskedForOnceTheNextLeaderWillKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -77,7 +78,7 @@
 		synctest.Wait()
 		next := newBench(c, nil)
 		next.take(feed.KeyedPage{Records: kept}, []feed.KeyedPage{{}}, feed.KeyedPage{})
-		c.Assert(next.wave(1).asked["m0"], quicktest.IsTrue)
+		c.Assert(next.wave(1).requested["m0"], quicktest.IsTrue)
 		for _, m := range b.inbox.take() {
 			m.apply(b.session)
 		}
@@ -87,14 +88,10 @@
 	})
 }
 
-// The story. A wave had an instance beyond its cap away for its upkeep, for some hundredths of a second: with two waves at a time, a new leader had its second one begin before the
-// first one's instance was back.
-//
-// The cause: the machine interface says that an instance is in upkeep, not for which wave. The new leader took one that was away for another wave for one of this wave that the leader before had
-// begun and not kept: it counts as away already, and is asked for beyond the cap.
-//
-// The evidence: the trace of a random history (seed 1000913): the instance was refused for the one wave and begun for the other by the leader before, and asked for by the next leader as
-// soon as it was back.
+// TestAnInstanceThatIsAwayForAnotherWaveIsNotTakenForBegun guards against a wave exceeding its limit when two waves share an instance. The machine
+// interface does not tell for which wave an instance is under maintenance, so a new leader took an instance that was away for another wave for one
+// that its predecessor had begun for this wave, and requested its maintenance in excess of the limit as soon as it was back. Found by random
+// histories (seed 1000913).
 func TestAnInstanceThatIsAwayForAnotherWaveIsNotTakenForBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
