--- a/control/jobs.go
+++ b/control/jobs.go
@@ -34,7 +34,7 @@
 	if !c.jobs.pending {
 		return place.Decisions{}
 	}
-	return place.Decide(c.tables, place.Options{Most: startsATick, Until: plan.Turns(c.tables, c.Costs)})
+	return place.Decide(c.tables, place.Options{MaxStarts: startsATick, UntilDrain: plan.Turns(c.tables, c.Costs)})
 }
 
 // startJobs writes what is decided about pending jobs.
--- a/entry/node.go
+++ b/entry/node.go
@@ -185,9 +185,9 @@
 		Entry: s.Entry, Intake: intakes, State: store.Own(stateTopic, 0), Workers: store.Workers(),
 		ParseWorker: platform.ParseWorker, Calls: workers.Calls(), Machines: machines.Calls(),
 		PutWave: platform.PutWave(store.Status()), Events: n.Events,
-		BatchMost:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
-		RecordMost: s.Store.MaxRecordBytes,
-		Processor:  s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesOfMbit,
+		MaxBatchBytes:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
+		MaxRecordBytes: s.Store.MaxRecordBytes,
+		Processor:      s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesOfMbit,
 	}
 	n.scheduler.SetBounds(boundsOf(s))
 	if n.metrics.scope != nil {
@@ -203,7 +203,7 @@
 		May: func() bool { return n.ingress.Ready() },
 	}
 	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.Lost, n.elector.HandOver
-	n.scheduler.SetLoose, n.scheduler.LooseKept, n.scheduler.SetEarlier = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
+	n.scheduler.AnnounceUnstoredOrders, n.scheduler.UnstoredOrdersAnnounced, n.scheduler.PublishEarlierLeaders = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
 	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[partOf(s.Entry, len(intakes))]}, Ask: n.ask, Events: n.Events}}
 	n.follower = &platform.Follower{Topic: store.Operator(), Events: n.Events, Clock: n.Clock, Within: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
 		n.ingress.SetConfig(c)
@@ -215,12 +215,12 @@
 }
 
 // patienceOf returns how long an entry that can't read the configuration goes by what it has.
-func patienceOf(b platform.Bounds) org.Patience {
+func patienceOf(b platform.Bounds) org.StalenessLimits {
 	apply := platform.Millis(b.ApplyMillis)
 	if apply == 0 {
-		return org.Patience{} // the deployment states no bound
+		return org.StalenessLimits{} // the deployment states no bound
 	}
-	return org.Patience{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
+	return org.StalenessLimits{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
 }
 
 // woke tells that the machine was suspended: all that was learned before proves nothing until it is learned again.
--- a/internal/drive/wave.go
+++ b/internal/drive/wave.go
@@ -91,7 +91,7 @@
 type work struct {
 	left    time.Duration // of its true run time
 	uses    float64       // the cores that it takes when nothing holds it back
-	seen    place.Seen    // what the platform reports
+	seen    place.Usage   // what the platform reports
 	since   time.Time     // of the current attempt
 	leaving time.Time     // when its checkpoint is complete; zero when it stays
 	first   bool          // it has been on its first worker since before the wave
@@ -173,7 +173,7 @@
 }
 
 func (r *run) place() {
-	d := place.Decide(r.t, place.Options{FirstFit: r.policy.Baseline, Until: r.until(), Margin: r.margin()})
+	d := place.Decide(r.t, place.Options{FirstFit: r.policy.Baseline, UntilDrain: r.until(), Margin: r.margin()})
 	for _, s := range d.Starts {
 		if r.apply(fleet.Record{Start: &s}) {
 			r.apply(fleet.Record{Settle: &fleet.Settle{Job: s.Job, Attempt: s.Attempt, Outcome: fleet.OutcomeRunning}})
--- a/job/job.go
+++ b/job/job.go
@@ -58,7 +58,7 @@
 	// FailedRuns are the numbers of the failed runs. Each counts once.
 	FailedRuns []int64
 	// RunSince is when this leader ordered the run or learned of it.
-	Since time.Time
+	RunSince time.Time
 	// Percent is the progress that the worker last reported.
 	Percent int
 	// Gauge is the worker's rough measurement over the last half second: the tail latency in milliseconds for a
@@ -66,8 +66,8 @@
 	Gauge float64
 	// NotBefore is the earliest time of the next start after a failure or a refusal. BackingOff reports that this
 	// time had not come when the task was last considered.
-	NotBefore time.Time
-	Held      bool
+	NotBefore  time.Time
+	BackingOff bool
 	// LateUntil is the time until which a later life of the worker may still carry out an unanswered start of the
 	// task. The task is not started elsewhere before then. The zero time means that no such start is outstanding.
 	LateUntil time.Time
@@ -83,7 +83,7 @@
 	// Avoid is the worker on which the task failed last.
 	Avoid string
 	// DownSince is when a lasting task stopped being at work, or zero while it is at work.
-	Gone time.Time
+	DownSince time.Time
 	// AtWork reports that a lasting task has been seen at work in the current run.
 	AtWork bool
 }
@@ -114,11 +114,11 @@
 	// unfinishedByStep counts the tasks that are not finished, by time and step.
 	unfinishedByStep []int
 	// Unfinished is the number of tasks that are not finished.
-	Total int
+	Unfinished int
 	// Began reports that one of its tasks has been started.
 	Began bool
 	// Version increases with each change that must be stored. StoredVersion is the latest version that is stored.
-	Version, KeptVersion int64
+	Version, StoredVersion int64
 	// Ended is when the job reached its final state.
 	Ended time.Time
 	// Cancelling reports that a request to cancel was accepted.
@@ -128,7 +128,7 @@
 	Received, From time.Time
 	// OverRate reports that the organisation submitted the job beyond its rate, so that it only uses capacity that
 	// no other job wants.
-	Beyond       bool
+	OverRate     bool
 	tasksPerTime int
 	stepOffsets  []int
 }
@@ -143,7 +143,7 @@
 	times := max(s.Times, 1)
 	j.Tasks = make([]Task, times*j.tasksPerTime)
 	j.unfinishedByStep = make([]int, times*len(s.Steps))
-	j.Total = len(j.Tasks)
+	j.Unfinished = len(j.Tasks)
 	n := 0
 	for repetition := range times {
 		for i := range s.Steps {
@@ -197,7 +197,7 @@
 }
 
 // StepUnfinished returns how many tasks of a step are not finished for one time.
-func (j *Job) StepLeft(repetition, step int) int {
+func (j *Job) StepUnfinished(repetition, step int) int {
 	return j.unfinishedByStep[repetition*len(j.Spec.Steps)+step]
 }
 
@@ -209,10 +209,10 @@
 	t.Phase = Finished
 	t.Saved = ""
 	j.unfinishedByStep[t.Time*len(j.Spec.Steps)+t.Step]--
-	j.Total--
+	j.Unfinished--
 	j.Began = true
 	j.Version++
-	if j.Total == 0 && !j.State.Ended() {
+	if j.Unfinished == 0 && !j.State.Ended() {
 		j.end(Succeeded, now)
 	}
 	return true
@@ -255,9 +255,9 @@
 }
 
 // VisibleState returns the state that clients may see. A final state is shown only once it is stored.
-func (j *Job) Shown() State {
+func (j *Job) VisibleState() State {
 	switch {
-	case j.State.Ended() && j.KeptVersion >= j.Version:
+	case j.State.Ended() && j.StoredVersion >= j.Version:
 		return j.State
 	case j.Began:
 		return Running
@@ -266,7 +266,7 @@
 }
 
 // CriticalPath returns the estimated duration of the longest chain of dependent steps for one time.
-func (j *Job) Chain() time.Duration {
+func (j *Job) CriticalPath() time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(j.Spec.Steps))
 	for i := range j.Spec.Steps {
--- a/job/lost.go
+++ b/job/lost.go
@@ -13,12 +13,12 @@
 	// LossLimitConclusive is the number of losses after which the task is given up if the last one is conclusive
 	// evidence against it. The users' rules allow this many. LossLimitIsolated is the same if the last run was an
 	// isolated trial, which is weaker evidence.
-	LostProved = 2
-	LostTried  = 3
+	LossLimitConclusive = 2
+	LossLimitIsolated   = 3
 	// LossLimit is the number of losses after which the task is given up regardless of the evidence. The users'
 	// rules allow two starts after the third loss, and starts that a new leader does not learn of count as well.
 	// With a limit of five, 2 of 2,000 random histories with many such tasks had one start too many.
-	LostMost = 4
+	LossLimit = 4
 )
 
 // AgeUnknown is the age of a run whose start was not ordered by this leader.
@@ -37,12 +37,12 @@
 	// Isolated reports that the run was an isolated trial that had not been cleared when the life ended. Conclusive
 	// reports that the worker confirmed the run and its life ended at once, so that there is hardly any other
 	// explanation.
-	Tried, Proved bool
+	Isolated, Conclusive bool
 }
 
 // RecordLost records that a run was lost with the life of its worker. Each run counts once. It reports whether this
 // was new.
-func (j *Job) Lose(t *Task, l LostRun) bool {
+func (j *Job) RecordLost(t *Task, l LostRun) bool {
 	for _, o := range t.Lost {
 		if o.Run == l.Run {
 			return false
@@ -52,27 +52,27 @@
 		return false
 	}
 	t.Lost = append(t.Lost, l)
-	t.Suspect = t.Suspect || l.Suspects > 0 || len(t.Lost) >= LostTried
+	t.Suspect = t.Suspect || l.Suspects > 0 || len(t.Lost) >= LossLimitIsolated
 	j.Version++
 	return true
 }
 
 // RetractLost removes the record of a lost run, because its order reached another life or was never sent.
-func (j *Job) NeverThere(t *Task, run int64) {
+func (j *Job) RetractLost(t *Task, run int64) {
 	lost := len(t.Lost)
 	t.Lost = slices.DeleteFunc(t.Lost, func(l LostRun) bool { return l.Run == run })
 	if len(t.Lost) == lost {
 		return
 	}
-	t.Suspect = len(t.Lost) >= LostTried || slices.ContainsFunc(t.Lost, func(l LostRun) bool { return l.Suspects > 0 })
+	t.Suspect = len(t.Lost) >= LossLimitIsolated || slices.ContainsFunc(t.Lost, func(l LostRun) bool { return l.Suspects > 0 })
 	j.Version++
 }
 
 // ClearSuspicion records that a run has lasted longer than any run of the task that was lost.
-func (j *Job) Clear(t *Task) { t.Suspect = false }
+func (j *Job) ClearSuspicion(t *Task) { t.Suspect = false }
 
 // ClearLost removes all lost runs of a task that is certainly not the cause.
-func (j *Job) Refute(t *Task) {
+func (j *Job) ClearLost(t *Task) {
 	if len(t.Lost) > 0 {
 		t.Lost, t.Suspect = nil, false
 		j.Version++
@@ -80,14 +80,14 @@
 }
 
 // ExceedsLossLimit reports whether the task must not be started again because of its losses.
-func (t *Task) Hopeless() bool {
+func (t *Task) ExceedsLossLimit() bool {
 	n := len(t.Lost)
 	if n == 0 {
 		return false
 	}
 	last := t.Lost[n-1]
-	tried := last.Tried || (t.Spec().Gang && last.Suspects > 0) // members of a gang start together, so none can run in an isolated trial
-	return n >= LostMost || (t.hasLossAtSameAge(last) && ((n >= LostTried && tried) || (n >= LostProved && last.Proved)))
+	tried := last.Isolated || (t.Spec().Gang && last.Suspects > 0) // members of a gang start together, so none can run in an isolated trial
+	return n >= LossLimit || (t.hasLossAtSameAge(last) && ((n >= LossLimitIsolated && tried) || (n >= LossLimitConclusive && last.Conclusive)))
 }
 
 // riskAfterLosses is the assumed probability that a task crashes its next worker after LossLimitIsolated losses,
@@ -103,7 +103,7 @@
 			risk = max(risk, 1/float64(l.Suspects))
 		}
 	}
-	if len(t.Lost) >= LostTried {
+	if len(t.Lost) >= LossLimitIsolated {
 		risk = max(risk, riskAfterLosses)
 	}
 	return risk
@@ -111,7 +111,7 @@
 
 // MaxLostAge returns the greatest age among the lost runs that may have ended a life, or among all lost runs if none
 // may have.
-func (t *Task) LongestLost() time.Duration {
+func (t *Task) MaxLostAge() time.Duration {
 	maxSuspect, maxAny := time.Duration(0), time.Duration(0)
 	for _, l := range t.Lost {
 		maxAny = max(maxAny, l.Age)
@@ -142,7 +142,7 @@
 
 // GivenUp reports whether this is a lasting task that must not be started again, while its job continues with the
 // other tasks.
-func (t *Task) Parked() bool { return t.Spec().Lasting && t.Hopeless() }
+func (t *Task) GivenUp() bool { return t.Spec().Lasting && t.ExceedsLossLimit() }
 
 // GiveUp records that a task must not be started again, which ends its job as failed. A job of lasting tasks
 // continues as long as one of them may be started: ending the others would take away tasks that serve users.
@@ -151,7 +151,7 @@
 		return
 	}
 	for i := range j.Tasks {
-		if o := &j.Tasks[i]; t.Spec().Lasting && o.Phase != Finished && !o.Hopeless() {
+		if o := &j.Tasks[i]; t.Spec().Lasting && o.Phase != Finished && !o.ExceedsLossLimit() {
 			return
 		}
 	}
@@ -160,15 +160,15 @@
 
 // StoredLost is the stored form of a lost run. It is not part of Stored, so that versions that do not know it can
 // still read Stored.
-type KeptLost struct {
+type StoredLost struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
 	Run     int64
 	Life    string
 	// AgeMS is LostRun.Age in milliseconds.
-	AgeMS         int64
-	Suspects      int
-	Tried, Proved bool
+	AgeMS                int64
+	Suspects             int
+	Isolated, Conclusive bool
 }
 
 // ageMS returns the age in milliseconds, or -1 if it is unknown.
@@ -180,14 +180,14 @@
 }
 
 // StoredLost returns the lost runs for storage. It returns none for a job that has ended.
-func (j *Job) KeepLost() []KeptLost {
+func (j *Job) StoredLost() []StoredLost {
 	if j.State.Ended() {
 		return nil
 	}
-	var kept []KeptLost
+	var kept []StoredLost
 	for i := range j.Tasks {
 		for _, l := range j.Tasks[i].Lost {
-			kept = append(kept, KeptLost{Ordinal: i, Run: l.Run, Life: l.Life, AgeMS: l.ageMS(), Suspects: l.Suspects, Tried: l.Tried, Proved: l.Proved})
+			kept = append(kept, StoredLost{Ordinal: i, Run: l.Run, Life: l.Life, AgeMS: l.ageMS(), Suspects: l.Suspects, Isolated: l.Isolated, Conclusive: l.Conclusive})
 		}
 	}
 	return kept
@@ -195,15 +195,15 @@
 
 // RestoreLost restores what StoredLost returned. A task whose suspicion was cleared after its last loss becomes a
 // suspect again.
-func (j *Job) RestoreLost(kept []KeptLost) {
+func (j *Job) RestoreLost(kept []StoredLost) {
 	for _, k := range kept {
 		if k.Ordinal >= 0 && k.Ordinal < len(j.Tasks) {
 			age := time.Duration(k.AgeMS) * time.Millisecond
 			if k.AgeMS < 0 {
 				age = AgeUnknown
 			}
-			j.Lose(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Life: k.Life, Age: age, Suspects: k.Suspects, Tried: k.Tried, Proved: k.Proved})
+			j.RecordLost(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Life: k.Life, Age: age, Suspects: k.Suspects, Isolated: k.Isolated, Conclusive: k.Conclusive})
 		}
 	}
-	j.Version = j.KeptVersion // the restored state is already stored
+	j.Version = j.StoredVersion // the restored state is already stored
 }
--- a/job/owner.go
+++ b/job/owner.go
@@ -12,21 +12,21 @@
 //
 // Clients choose the IDs. With the prefix, two organisations that choose the same ID use different keys and can't
 // overwrite or cancel each other's jobs.
-type Owned string
+type QualifiedID string
 
 // Qualify returns the qualified ID of a job. The organisation is empty for jobs of public queues.
-func OwnedBy(organisation, id string) Owned {
+func Qualify(organisation, id string) QualifiedID {
 	if organisation == "" {
-		return Owned(id)
+		return QualifiedID(id)
 	}
-	return Owned(organisation + "/" + id)
+	return QualifiedID(organisation + "/" + id)
 }
 
 // QualifiedID returns the qualified ID of the job.
-func (s *Spec) Owner() Owned { return OwnedBy(s.Organisation, s.ID) }
+func (s *Spec) QualifiedID() QualifiedID { return Qualify(s.Organisation, s.ID) }
 
 // Parts returns the organisation and the ID. Names of organisations may contain any character, including a slash.
-func (o Owned) Parts() (organisation, id string) {
+func (o QualifiedID) Parts() (organisation, id string) {
 	if i := len(o) - idLength - 1; i > 0 && o[i] == '/' {
 		return string(o[:i]), string(o[i+1:])
 	}
@@ -40,24 +40,24 @@
 )
 
 // SubmissionKey returns the intake key of the submitted job.
-func (o Owned) HandedInKey() string { return submissionPrefix + string(o) }
+func (o QualifiedID) SubmissionKey() string { return submissionPrefix + string(o) }
 
 // CancelKey returns the intake key of the request to cancel the job.
-func (o Owned) CancelKey() string { return cancelPrefix + string(o) }
+func (o QualifiedID) CancelKey() string { return cancelPrefix + string(o) }
 
 // ParseSubmissionKey returns the job whose submission is stored under the key, and false for any other key.
-func HandedIn(key string) (Owned, bool) { return cutKey(key, submissionPrefix) }
+func ParseSubmissionKey(key string) (QualifiedID, bool) { return cutKey(key, submissionPrefix) }
 
 // ParseCancelKey returns the job whose cancellation is requested under the key, and false for any other key.
-func CancelWished(key string) (Owned, bool) { return cutKey(key, cancelPrefix) }
+func ParseCancelKey(key string) (QualifiedID, bool) { return cutKey(key, cancelPrefix) }
 
-func cutKey(key, prefix string) (Owned, bool) {
+func cutKey(key, prefix string) (QualifiedID, bool) {
 	rest, ok := strings.CutPrefix(key, prefix)
-	return Owned(rest), ok
+	return QualifiedID(rest), ok
 }
 
 // Query asks for the state of a job, or of a queue if ID is empty.
-type Question struct {
+type Query struct {
 	ID, Queue string
 	// Organisation is the authenticated caller, or empty if there is none. Open reports that the queue is public.
 	Organisation string
@@ -66,7 +66,7 @@
 
 // MaySee reports whether the caller may see the job. It may if it submitted the job, if the job belongs to no
 // organisation, or if the job's queue is now public.
-func (q Question) Sees(s *Spec) bool {
+func (q Query) MaySee(s *Spec) bool {
 	return s.Organisation == "" || s.Organisation == q.Organisation || (q.Open && q.Queue == s.Queue)
 }
 
--- a/job/queue.go
+++ b/job/queue.go
@@ -30,7 +30,7 @@
 type Pool struct {
 	Name string
 	// AdmissionCheck reports that the workers refuse tasks that exceed their free capacity.
-	Guards bool
+	AdmissionCheck bool
 	// Headroom pools hold instances that are switched off and cost nothing.
 	Headroom bool
 }
--- a/job/spec.go
+++ b/job/spec.go
@@ -60,12 +60,12 @@
 }
 
 // Max returns the larger amount of each resource.
-func (n Need) Most(o Need) Need {
+func (n Need) Max(o Need) Need {
 	return Need{MilliCPU: max(n.MilliCPU, o.MilliCPU), MemoryMB: max(n.MemoryMB, o.MemoryMB), GPU: max(n.GPU, o.GPU)}
 }
 
 // Min returns the smaller amount of each resource.
-func (n Need) Least(o Need) Need {
+func (n Need) Min(o Need) Need {
 	return Need{MilliCPU: min(n.MilliCPU, o.MilliCPU), MemoryMB: min(n.MemoryMB, o.MemoryMB), GPU: min(n.GPU, o.GPU)}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // AnyNegative reports whether the amount of any resource is negative.
-func (n Need) Lacks() bool { return n.MilliCPU < 0 || n.MemoryMB < 0 || n.GPU < 0 }
+func (n Need) AnyNegative() bool { return n.MilliCPU < 0 || n.MemoryMB < 0 || n.GPU < 0 }
 
 // Step is a group of tasks with the same requirements.
 type Step struct {
--- a/job/stored.go
+++ b/job/stored.go
@@ -12,7 +12,7 @@
 )
 
 // Stored is the state of a Job that must survive the loss of every process. The Spec is stored separately.
-type Kept struct {
+type Stored struct {
 	_     struct{} `cbor:",toarray"`
 	State State
 	// Done has one bit for each task, by ordinal, that is set if the task is finished.
@@ -42,8 +42,8 @@
 }
 
 // Stored returns the state of the job for storage.
-func (j *Job) Keep() Kept {
-	k := Kept{State: j.State, Done: make([]byte, (len(j.Tasks)+7)/8), Began: j.Began}
+func (j *Job) Stored() Stored {
+	k := Stored{State: j.State, Done: make([]byte, (len(j.Tasks)+7)/8), Began: j.Began}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if t.Phase == Finished {
@@ -65,7 +65,7 @@
 }
 
 // Restore sets the state of a new job from its stored state.
-func (j *Job) Restore(k Kept, now time.Time) {
+func (j *Job) Restore(k Stored, now time.Time) {
 	j.Began = k.Began
 	for _, f := range k.Failed {
 		if f.Ordinal >= 0 && f.Ordinal < len(j.Tasks) {
@@ -82,7 +82,7 @@
 		j.State = k.State
 		j.Ended = k.Ended.Time()
 	}
-	j.Version, j.KeptVersion = 1, 1
+	j.Version, j.StoredVersion = 1, 1
 }
 
 // Encode encodes a Spec or one of the stored types.
--- a/org/directory.go
+++ b/org/directory.go
@@ -52,7 +52,7 @@
 }
 
 // WithinCap reports whether a total is within the cap.
-func (o *Organisation) Covers(total job.Need) bool {
+func (o *Organisation) WithinCap(total job.Need) bool {
 	return within(total, o.Cap, total)
 }
 
@@ -96,7 +96,7 @@
 		if math.IsNaN(o.Weight) || o.Weight <= 0 || math.IsInf(o.Weight, 0) {
 			report("its weight is not above 0", "give a positive number")
 		}
-		if o.Cap.Lacks() {
+		if o.Cap.AnyNegative() {
 			report("its cap is negative", "give a positive figure, or 0 for no limit")
 		}
 		for _, k := range o.Keys {
@@ -122,7 +122,7 @@
 }
 
 // ByName returns the organisation with the given name, or nil.
-func (d *Directory) Of(name string) *Organisation {
+func (d *Directory) ByName(name string) *Organisation {
 	if d == nil {
 		return nil
 	}
@@ -146,15 +146,15 @@
 //
 // The map lookup by digest does not run in constant time. Its timing only depends on the digest of the presented
 // key, which the caller knows, and reveals nothing about the keys of others.
-func (d *Directory) Who(key string) *Organisation {
+func (d *Directory) ByKey(key string) *Organisation {
 	if d == nil || key == "" || len(key) > maxKeyLen {
 		return nil
 	}
-	return d.Owner(DigestOf(key))
+	return d.ByDigest(DigestOf(key))
 }
 
 // ByDigest returns the organisation that has a key with the given digest, or nil.
-func (d *Directory) Owner(digest Digest) *Organisation {
+func (d *Directory) ByDigest(digest Digest) *Organisation {
 	if d == nil {
 		return nil
 	}
--- a/org/ledger.go
+++ b/org/ledger.go
@@ -32,7 +32,7 @@
 func (l *Ledger) SetDirectory(d *Directory) {
 	if l.directory != nil {
 		for name, o := range l.directory.byName {
-			if d.Of(name) != nil {
+			if d.ByName(name) != nil {
 				continue
 			}
 			if l.former == nil {
@@ -46,8 +46,8 @@
 
 // Organisation returns the current settings of an organisation, the last known ones if it was removed, or nil if it
 // was never configured.
-func (l *Ledger) Of(name string) *Organisation {
-	if o := l.directory.Of(name); o != nil {
+func (l *Ledger) Organisation(name string) *Organisation {
+	if o := l.directory.ByName(name); o != nil {
 		return o
 	}
 	return l.former[name]
@@ -69,7 +69,7 @@
 }
 
 // Acquire adds a run to the ledger. It does nothing on a nil Ledger.
-func (l *Ledger) Take(name string, n job.Need) {
+func (l *Ledger) Acquire(name string, n job.Need) {
 	if l == nil || name == "" {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // Release removes a run that has certainly ended or was never started. It does nothing on a nil Ledger.
-func (l *Ledger) Return(name string, n job.Need) {
+func (l *Ledger) Release(name string, n job.Need) {
 	if l == nil || name == "" {
 		return
 	}
@@ -103,8 +103,8 @@
 // OverCap reports whether the organisation exceeds its cap while it has other runs besides the given one of need n,
 // which is already counted. Its order must not be sent then. This happens when a cap is lowered after the task was
 // placed and before its order is sent.
-func (l *Ledger) Over(name string, n job.Need) bool {
-	o := l.Of(name)
+func (l *Ledger) OverCap(name string, n job.Need) bool {
+	o := l.Organisation(name)
 	if o == nil {
 		return false
 	}
@@ -113,7 +113,7 @@
 }
 
 // HasCaps reports whether any organisation, current or former, has a cap.
-func (l *Ledger) Bounded() bool {
+func (l *Ledger) HasCaps() bool {
 	for _, o := range l.former {
 		if o.Cap != (job.Need{}) {
 			return true
@@ -155,7 +155,7 @@
 	if d == nil || name == "" || runs <= 0 {
 		return true
 	}
-	o := d.ledger.Of(name)
+	o := d.ledger.Organisation(name)
 	if o == nil || o.Cap == (job.Need{}) {
 		return true
 	}
@@ -168,10 +168,10 @@
 }
 
 // Acquire adds a run to the draft.
-func (d *Draft) Take(name string, n job.Need) { d.change(name, n, 1) }
+func (d *Draft) Acquire(name string, n job.Need) { d.change(name, n, 1) }
 
 // Release removes a run that Acquire has added.
-func (d *Draft) Return(name string, n job.Need) { d.change(name, job.Need{}.Minus(n), -1) }
+func (d *Draft) Release(name string, n job.Need) { d.change(name, job.Need{}.Minus(n), -1) }
 
 func (d *Draft) change(name string, n job.Need, runs int) {
 	if d == nil || name == "" {
@@ -203,7 +203,7 @@
 	if d == nil {
 		return 1
 	}
-	if o := d.ledger.Of(name); o != nil {
+	if o := d.ledger.Organisation(name); o != nil {
 		return o.Weight
 	}
 	return 1
--- a/org/rate.go
+++ b/org/rate.go
@@ -16,7 +16,7 @@
 
 // Exceeded records a job and reports whether it is over the organisation's rate. Successive times must be roughly
 // ascending. Jobs over the rate do not count against later ones.
-func (r *Rate) Beyond(o *Organisation, at time.Time) bool {
+func (r *Rate) Exceeded(o *Organisation, at time.Time) bool {
 	if o == nil {
 		return false
 	}
@@ -38,7 +38,7 @@
 // Forget drops the state of organisations that are not in the directory.
 func (r *Rate) Forget(d *Directory) {
 	for name := range r.sent {
-		if d.Of(name) == nil {
+		if d.ByName(name) == nil {
 			delete(r.sent, name)
 		}
 	}
--- a/org/staleness.go
+++ b/org/staleness.go
@@ -23,7 +23,7 @@
 )
 
 // StalenessLimits says for how long an entry that can't read the configuration may rely on its last copy of it.
-type Patience struct {
+type StalenessLimits struct {
 	// Unknown is the maximum age of the last read at which a key, or a queue, that is missing from the copy is
 	// rejected as unknown. Beyond that, it may have been published since. The limit is the time within which a
 	// published configuration must take effect; 0 means no limit.
@@ -35,7 +35,7 @@
 
 // Check returns the verdict on a key, given whether the copy of the configuration contains it and how long ago the
 // configuration was last read.
-func (p Patience) Judge(known bool, age time.Duration) Verdict {
+func (p StalenessLimits) Check(known bool, age time.Duration) Verdict {
 	switch {
 	case known && (p.Known == 0 || age <= p.Known):
 		return Admitted
--- a/place/decide.go
+++ b/place/decide.go
@@ -15,10 +15,10 @@
 // Options are the parameters of Decide.
 type Options struct {
 	// MaxStarts limits the number of starts that one decision returns; 0 means no limit.
-	Most int
+	MaxStarts int
 	// UntilDrain returns how long the instance remains in service before a plan takes it out, and false if no plan
 	// does.
-	Until func(instance string) (time.Duration, bool)
+	UntilDrain func(instance string) (time.Duration, bool)
 	// Margin is the factor by which declared run times are multiplied, since they are inaccurate. If it is 0, the
 	// factor that the tables have learned for the pool is used.
 	Margin float64
@@ -45,7 +45,7 @@
 	var out Decisions
 	for {
 		j := d.nextJob()
-		if j == nil || (o.Most > 0 && len(out.Starts) == o.Most) {
+		if j == nil || (o.MaxStarts > 0 && len(out.Starts) == o.MaxStarts) {
 			return out
 		}
 		r := d.chooseInstance(j)
@@ -137,8 +137,8 @@
 		}
 		cores, memory := d.t.Held(id)
 		r := &freeCapacity{in: in, cores: in.Cores - cores, memory: in.MemoryMB - memory}
-		if d.o.Until != nil {
-			r.drainIn, r.willDrain = d.o.Until(id)
+		if d.o.UntilDrain != nil {
+			r.drainIn, r.willDrain = d.o.UntilDrain(id)
 		}
 		d.pools[in.Pool] = append(d.pools[in.Pool], r)
 	}
--- a/place/index.go
+++ b/place/index.go
@@ -17,42 +17,42 @@
 type bucket struct {
 	milliCPU   int
 	cold       bool
-	candidates []*Room
+	candidates []*Candidate
 }
 
-func newCapacityIndex(candidates []*Room) *capacityIndex {
+func newCapacityIndex(candidates []*Candidate) *capacityIndex {
 	s := new(capacityIndex)
 	for _, r := range candidates {
 		x := s.bucketFor(r)
 		x.candidates = append(x.candidates, r)
 	}
 	for _, x := range s.all {
-		slices.SortStableFunc(x.candidates, func(a, b *Room) int { return cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU) })
+		slices.SortStableFunc(x.candidates, func(a, b *Candidate) int { return cmp.Compare(a.Free.MilliCPU, b.Free.MilliCPU) })
 	}
 	return s
 }
 
 // bucketFor returns the bucket for candidates of the size of r.
-func (s *capacityIndex) bucketFor(r *Room) *bucket {
+func (s *capacityIndex) bucketFor(r *Candidate) *bucket {
 	for _, x := range s.all {
-		if x.milliCPU == r.Worker.Room.MilliCPU && x.cold == r.Cold {
+		if x.milliCPU == r.Worker.Capacity.MilliCPU && x.cold == r.Cold {
 			return x
 		}
 	}
-	x := &bucket{milliCPU: r.Worker.Room.MilliCPU, cold: r.Cold}
+	x := &bucket{milliCPU: r.Worker.Capacity.MilliCPU, cold: r.Cold}
 	s.all = append(s.all, x)
 	return x
 }
 
 // firstWithFree returns the index of the first candidate with at least that much CPU free.
 func (x *bucket) firstWithFree(milliCPU int) int {
-	i, _ := slices.BinarySearchFunc(x.candidates, milliCPU, func(r *Room, free int) int { return cmp.Compare(r.Free.MilliCPU, free) })
+	i, _ := slices.BinarySearchFunc(x.candidates, milliCPU, func(r *Candidate, free int) int { return cmp.Compare(r.Free.MilliCPU, free) })
 	return i
 }
 
 // bestFit returns the candidate with the smallest free part among those with enough free capacity, or nil.
 // Candidates on cold workers and the one to be avoided are only returned if there is no other.
-func (s *capacityIndex) bestFit(need job.Need, avoid string) *Room {
+func (s *capacityIndex) bestFit(need job.Need, avoid string) *Candidate {
 	best, avoided := s.bestFitAmong(false, need, avoid)
 	if best != nil {
 		return best
@@ -63,7 +63,7 @@
 
 // bestFitAmong is bestFit for either the cold or the other workers. The candidate to be avoided is returned
 // separately.
-func (s *capacityIndex) bestFitAmong(cold bool, need job.Need, avoid string) (best, avoided *Room) {
+func (s *capacityIndex) bestFitAmong(cold bool, need job.Need, avoid string) (best, avoided *Candidate) {
 	for _, x := range s.all {
 		if x.cold != cold {
 			continue
@@ -87,7 +87,7 @@
 
 // remove removes a candidate and reports whether it was in the index. It must be called before the free capacity of
 // the candidate changes, and insert afterwards.
-func (s *capacityIndex) remove(r *Room) bool {
+func (s *capacityIndex) remove(r *Candidate) bool {
 	x := s.bucketFor(r)
 	for i := x.firstWithFree(r.Free.MilliCPU); i < len(x.candidates); i++ {
 		if x.candidates[i] == r {
@@ -99,12 +99,12 @@
 }
 
 // insert adds a candidate by its current free capacity.
-func (s *capacityIndex) insert(r *Room) {
+func (s *capacityIndex) insert(r *Candidate) {
 	x := s.bucketFor(r)
 	x.candidates = slices.Insert(x.candidates, x.firstWithFree(r.Free.MilliCPU), r)
 }
 
 // freePart returns the fraction of the worker's CPU that is free.
-func (r *Room) freePart() float64 {
-	return float64(r.Free.MilliCPU) / float64(max(r.Worker.Room.MilliCPU, 1))
+func (r *Candidate) freePart() float64 {
+	return float64(r.Free.MilliCPU) / float64(max(r.Worker.Capacity.MilliCPU, 1))
 }
--- a/place/measure.go
+++ b/place/measure.go
@@ -10,7 +10,7 @@
 )
 
 // Usage is the resource usage that the platform has reported for one running attempt. Reports lag behind.
-type Seen struct {
+type Usage struct {
 	// Cores and MemoryMB are the maxima of the latest reports.
 	Cores    float64
 	MemoryMB int
@@ -34,7 +34,7 @@
 //
 // The charge is raised at once but lowered only after the attempt has run for a while. The usage of a throttled job
 // does not show what it would use without the limit.
-func Measured(j *fleet.Job, s Seen) (fleet.Measure, bool) {
+func Measured(j *fleet.Job, s Usage) (fleet.Measure, bool) {
 	charged := j.Charged()
 	want := fleet.Measure{Job: j.ID, Attempt: j.Attempt, Cores: withMargin(s.Cores), MemoryMB: withMargin(float64(s.MemoryMB))}
 	if j.Limit > 0 || j.State != fleet.JobRunning {
--- a/place/outlook.go
+++ b/place/outlook.go
@@ -10,10 +10,10 @@
 // Estimate is the estimated run time and value of a job.
 type Estimate struct {
 	// From is when the job was submitted. Target is the time from then within which it yields its full value.
-	From time.Time
-	Aim  time.Duration
+	From   time.Time
+	Target time.Duration
 	// Total is the duration of the whole job if nothing has to wait, and Remaining that of what is left of it.
-	Whole, Left time.Duration
+	Total, Remaining time.Duration
 	// Density is the value of the job for each core-second that it still needs, if it finishes in time.
 	Density float64
 }
@@ -54,13 +54,13 @@
 // factor of up to three. Of two jobs of the same value, one that can only just be in time goes before one that can
 // wait.
 func (e Estimate) At(now time.Time) Outlook {
-	slack := e.From.Add(e.Aim).Sub(now) - e.Left
-	untilWorthless := slack + (lateFactor-1)*e.Aim
-	estimateError := time.Duration(errorPart*float64(e.Left)) + minError
+	slack := e.From.Add(e.Target).Sub(now) - e.Remaining
+	untilWorthless := slack + (lateFactor-1)*e.Target
+	estimateError := time.Duration(errorPart*float64(e.Remaining)) + minError
 	inTime := probability(slack+tolerance, estimateError)
 	late := (1 - inTime) * probability(untilWorthless, estimateError)
 	slackPart := 0.0
-	if spare := e.Aim - e.Whole; spare > 0 {
+	if spare := e.Target - e.Total; spare > 0 {
 		slackPart = min(max(slack.Seconds()/spare.Seconds(), 0), 1)
 	}
 	return Outlook{Slack: slack, Expected: e.Density * (inTime*(1-maxDeferral*slackPart) + latePart*late)}
--- a/place/outlook_test.go
+++ b/place/outlook_test.go
@@ -15,7 +15,7 @@
 	// The expected value of a job of two seconds with a target of four seconds; age is the time since it was
 	// submitted.
 	expected := func(age, left time.Duration, density float64) float64 {
-		e := Estimate{From: now.Add(-age), Aim: 4 * time.Second, Whole: 2 * time.Second, Left: left, Density: density}
+		e := Estimate{From: now.Add(-age), Target: 4 * time.Second, Total: 2 * time.Second, Remaining: left, Density: density}
 		return e.At(now).Expected
 	}
 	for _, x := range [...]struct {
--- a/place/overload_test.go
+++ b/place/overload_test.go
@@ -54,7 +54,7 @@
 type loadEnd struct {
 	at        time.Time
 	of        *loadJob
-	candidate *Room
+	candidate *Candidate
 	need      job.Need
 }
 
@@ -129,13 +129,13 @@
 	e := Estimate{From: x.at}
 	needed := 0.0
 	for i, d := range x.expectedTimes {
-		e.Whole += d
+		e.Total += d
 		if i >= x.step {
-			e.Left += d
+			e.Remaining += d
 			needed += float64(x.left[i]) * d.Seconds() * float64(x.job.Spec.Steps[i].Need.MilliCPU) / 1000
 		}
 	}
-	e.Aim = time.Duration(loadStretch*float64(e.Whole)) + loadTarget
+	e.Target = time.Duration(loadStretch*float64(e.Total)) + loadTarget
 	e.Density = x.value / max(needed, 0.01)
 	return e
 }
@@ -181,10 +181,10 @@
 
 // simulateJobs runs the jobs on the instances. Organisations share the capacity by the ledger unless it is nil.
 func simulateJobs(jobs []*loadJob, outageStart, outageLength time.Duration, ledger *org.Ledger) {
-	var candidates []*Room
+	var candidates []*Candidate
 	for i := range loadInstances {
-		w := &work.Worker{Life: fmt.Sprint(i), Room: job.Need{MilliCPU: 1000 * loadCores, MemoryMB: 1 << 20}}
-		candidates = append(candidates, &Room{Worker: w, Free: w.Room})
+		w := &work.Worker{Life: fmt.Sprint(i), Capacity: job.Need{MilliCPU: 1000 * loadCores, MemoryMB: 1 << 20}}
+		candidates = append(candidates, &Candidate{Worker: w, Free: w.Capacity})
 	}
 	var ends []loadEnd
 	begin := time.Unix(0, 0)
@@ -196,7 +196,7 @@
 			ends = ends[1:]
 			e.candidate.Free.MilliCPU += e.need.MilliCPU
 			e.candidate.Free.MemoryMB += e.need.MemoryMB
-			ledger.Return(e.of.job.Spec.Organisation, e.need)
+			ledger.Release(e.of.job.Spec.Organisation, e.need)
 			e.of.end(now)
 		}
 		if since := now.Sub(begin.Add(outageStart)); since < 0 || since >= outageLength {
@@ -206,7 +206,7 @@
 }
 
 // placeJobs places the waiting tasks, as one pass of a leader does.
-func placeJobs(jobs []*loadJob, candidates []*Room, now time.Time, ledger *org.Ledger) []loadEnd {
+func placeJobs(jobs []*loadJob, candidates []*Candidate, now time.Time, ledger *org.Ledger) []loadEnd {
 	var groups []*Group
 	of := make(map[*job.Job]*loadJob)
 	for _, x := range jobs {
@@ -221,13 +221,13 @@
 	if ledger != nil {
 		draft = ledger.Draft(nil)
 	}
-	OrderShared(groups, Shares{Draft: draft, Whole: job.Need{MilliCPU: 1000 * loadCores * loadInstances}})
+	OrderShared(groups, Shares{Draft: draft, Total: job.Need{MilliCPU: 1000 * loadCores * loadInstances}})
 	var ends []loadEnd
 	for _, c := range Tasks(groups, candidates, draft) {
 		x := of[c.Task.Job]
 		c.Task.Phase = job.Active
-		ledger.Take(x.job.Spec.Organisation, x.job.Spec.Steps[c.Task.Step].Need)
-		ends = append(ends, loadEnd{now.Add(x.runTimes[c.Task.Step][c.Task.Index]), x, c.Room, x.job.Spec.Steps[c.Task.Step].Need})
+		ledger.Acquire(x.job.Spec.Organisation, x.job.Spec.Steps[c.Task.Step].Need)
+		ends = append(ends, loadEnd{now.Add(x.runTimes[c.Task.Step][c.Task.Index]), x, c.Candidate, x.job.Spec.Steps[c.Task.Step].Need})
 	}
 	for _, g := range groups {
 		g.Tasks = slices.DeleteFunc(g.Tasks, func(t *job.Task) bool { return t.Phase != job.Waiting })
--- a/place/shares_test.go
+++ b/place/shares_test.go
@@ -28,10 +28,10 @@
 	return l.Draft(nil)
 }
 
-func chosen(groups []*Group, candidates []*Room, draft *org.Draft) string {
+func chosen(groups []*Group, candidates []*Candidate, draft *org.Draft) string {
 	out := make(map[string]string)
 	for _, x := range Tasks(groups, candidates, draft) {
-		out[x.Task.Name()] = x.Room.Worker.Life
+		out[x.Task.Name()] = x.Candidate.Worker.Life
 	}
 	return fmt.Sprint(out)
 }
@@ -39,7 +39,7 @@
 func TestWhatWaitsForItsCapKeepsNoRoom(t *testing.T) {
 	c := quicktest.New(t)
 	a, b := of(groupOf("a", job.Step{Count: 3, Need: cpu(2000)}), "a"), of(groupOf("b", job.Step{Count: 1, Need: cpu(4000)}), "b")
-	got := chosen([]*Group{a, b}, []*Room{candidateOf("w1", "r1", 4000, 4000), candidateOf("w2", "r1", 4000, 2000)}, draftOf(c, 2000))
+	got := chosen([]*Group{a, b}, []*Candidate{candidateOf("w1", "r1", 4000, 4000), candidateOf("w2", "r1", 4000, 2000)}, draftOf(c, 2000))
 	c.Assert(got, quicktest.Equals, "map[a.0.0.0:w2 b.0.0.0:w1]")
 	c.Assert(a.Capped, quicktest.IsTrue)
 	c.Assert(b.Capped, quicktest.IsFalse)
@@ -48,7 +48,7 @@
 func TestAGangNeedsItsCapForAllMembers(t *testing.T) {
 	c := quicktest.New(t)
 	gang := func() *Group { return of(groupOf("a", job.Step{Count: 3, Need: cpu(1000), Gang: true}), "a") }
-	candidates := func() []*Room { return []*Room{candidateOf("w1", "r1", 4000, 4000)} }
+	candidates := func() []*Candidate { return []*Candidate{candidateOf("w1", "r1", 4000, 4000)} }
 	c.Assert(chosen([]*Group{gang()}, candidates(), draftOf(c, 2999)), quicktest.Equals, "map[]")
 	c.Assert(chosen([]*Group{gang()}, candidates(), draftOf(c, 3000)), quicktest.Equals, "map[a.0.0.0:w1 a.0.0.1:w1 a.0.0.2:w1]")
 }
@@ -59,14 +59,14 @@
 	c := quicktest.New(t)
 	gang := of(groupOf("a", job.Step{Count: 3, Need: cpu(1000), Gang: true}), "a")
 	other := of(groupOf("o", job.Step{Count: 1, Need: cpu(500)}), "a")
-	got := chosen([]*Group{gang, other}, []*Room{candidateOf("w1", "r1", 4000, 2500), candidateOf("w2", "r1", 4000, 600)}, draftOf(c, 3000))
+	got := chosen([]*Group{gang, other}, []*Candidate{candidateOf("w1", "r1", 4000, 2500), candidateOf("w2", "r1", 4000, 600)}, draftOf(c, 3000))
 	c.Assert(got, quicktest.Equals, "map[o.0.0.0:w1]", quicktest.Commentf("the emptiest worker must be reserved for the gang"))
 }
 
 func TestATaskLargerThanItsCapRunsAlone(t *testing.T) {
 	c := quicktest.New(t)
 	large := of(groupOf("a", job.Step{Count: 2, Need: cpu(3000)}), "a")
-	got := chosen([]*Group{large}, []*Room{candidateOf("w1", "r1", 4000, 4000), candidateOf("w2", "r1", 4000, 4000)}, draftOf(c, 1000))
+	got := chosen([]*Group{large}, []*Candidate{candidateOf("w1", "r1", 4000, 4000), candidateOf("w2", "r1", 4000, 4000)}, draftOf(c, 1000))
 	c.Assert(got, quicktest.Equals, "map[a.0.0.0:w1]")
 }
 
@@ -75,12 +75,12 @@
 func TestWhatIsBeyondItsRateTakesRoomThatNobodyElseWants(t *testing.T) {
 	c := quicktest.New(t)
 	beyond, total := of(groupOf("a", job.Step{Count: 4, Need: cpu(1000)}), "a"), of(groupOf("b", job.Step{Count: 3, Need: cpu(1000)}), "b")
-	beyond.Beyond, beyond.Expected, beyond.Priority, total.Priority = true, 100, 0, 1
+	beyond.OverRate, beyond.Expected, beyond.Priority, total.Priority = true, 100, 0, 1
 	groups := []*Group{beyond, total}
 	Order(groups)
-	got := chosen(groups, []*Room{candidateOf("w1", "r1", 4000, 4000)}, draftOf(c, 0))
+	got := chosen(groups, []*Candidate{candidateOf("w1", "r1", 4000, 4000)}, draftOf(c, 0))
 	c.Assert(got, quicktest.Equals, "map[a.0.0.0:w1 b.0.0.0:w1 b.0.0.1:w1 b.0.0.2:w1]")
-	c.Assert(chosen(groups, []*Room{candidateOf("w1", "r1", 4000, 3900), candidateOf("w2", "r1", 500, 500)}, draftOf(c, 0)), quicktest.Equals, "map[b.0.0.0:w1 b.0.0.1:w1 b.0.0.2:w1]")
+	c.Assert(chosen(groups, []*Candidate{candidateOf("w1", "r1", 4000, 3900), candidateOf("w2", "r1", 500, 500)}, draftOf(c, 0)), quicktest.Equals, "map[b.0.0.0:w1 b.0.0.1:w1 b.0.0.2:w1]")
 }
 
 // Guards against one organisation that submits eight times its usual load making everybody's jobs late: without
--- a/place/sharing.go
+++ b/place/sharing.go
@@ -15,7 +15,7 @@
 	// Draft counts what organisations use. If it is nil, all groups are treated alike.
 	Draft *org.Draft
 	// Total is the capacity to be shared.
-	Whole job.Need
+	Total job.Need
 }
 
 // minPart is the minimum factor for the value of the groups of an organisation that uses more than its share. It is
@@ -33,7 +33,7 @@
 // alone and serving half of each share first, lowered the value of whole days by 0.007 to 0.015.
 func OrderShared(groups []*Group, s Shares) {
 	Order(groups)
-	if s.Draft == nil || s.Whole == (job.Need{}) {
+	if s.Draft == nil || s.Total == (job.Need{}) {
 		return
 	}
 	s.rank(groups)
@@ -48,7 +48,7 @@
 		name := g.organisation()
 		if _, seen := uses[name]; !seen && name != "" {
 			weights += s.Draft.Weight(name)
-			uses[name] = s.Draft.Share(name, s.Whole)
+			uses[name] = s.Draft.Share(name, s.Total)
 		}
 	}
 	for _, g := range groups {
@@ -61,6 +61,6 @@
 			g.sharedValue *= max(1/(over*over*over), minPart)
 		}
 		step := &g.Job.Spec.Steps[g.Step]
-		uses[name] += float64(len(g.Tasks)) * org.Dominant(step.Need, s.Whole) / s.Draft.Weight(name)
+		uses[name] += float64(len(g.Tasks)) * org.Dominant(step.Need, s.Total) / s.Draft.Weight(name)
 	}
 }
--- a/place/tasks.go
+++ b/place/tasks.go
@@ -14,19 +14,19 @@
 )
 
 // Candidate is a worker with its free capacity.
-type Room struct {
+type Candidate struct {
 	Worker *work.Worker
 	Free   job.Need
 	// Serving and Filling are the numbers of its lasting tasks that serve users and of those that fill spare
 	// capacity.
 	Serving, Filling int
 	// UpkeepDue reports that the instance must be emptied soon for its upkeep.
-	Due bool
+	UpkeepDue bool
 	// Cold reports that the worker is slow since its start. It only gets tasks that no other worker has capacity
 	// for.
 	Cold bool
 	// RecentStart reports that a run began there so recently that it may still crash the worker.
-	Fresh bool
+	RecentStart bool
 }
 
 // Group is the waiting tasks of one step of a job, for one time.
@@ -38,17 +38,17 @@
 	Lasting bool
 	// OverRate reports that the job exceeds the rate of its organisation. It only gets capacity that no other group
 	// wants, and reserves none.
-	Beyond bool
+	OverRate bool
 	// Capped reports that the organisation's cap kept some of the tasks from starting when they were last
 	// considered. CappedLogged reports that this has been logged.
-	Capped, ToldCapped bool
+	Capped, CappedLogged bool
 	// Outlook was computed at RankedAt.
 	Outlook
-	Ranked time.Time
+	RankedAt time.Time
 	// Since is when the job was submitted.
 	Since time.Time
 	// ReadySince is when the tasks began to wait for a worker.
-	Opened time.Time
+	ReadySince time.Time
 	// Tasks are the tasks that wait for a worker.
 	Tasks []*job.Task
 	// OnWorker counts the step's tasks by the life of their worker. It is only set if the step limits them.
@@ -66,15 +66,15 @@
 
 // Choice assigns a task to a worker.
 type Choice struct {
-	Task *job.Task
-	Room *Room
+	Task      *job.Task
+	Candidate *Candidate
 	// Ticket allows the worker to run the step, where one is required.
 	Ticket string
 	// Slack is the estimated time until the job can no longer finish in time.
 	Slack time.Duration
 	// Isolated reports that nothing else may start on the worker until the task has ended or has run for long
 	// enough.
-	Apart bool
+	Isolated bool
 }
 
 // Order sorts groups by precedence.
@@ -90,8 +90,8 @@
 // compareClass compares the criteria that precede the expected value.
 func compareClass(a, b *Group) int {
 	switch {
-	case a.Beyond != b.Beyond:
-		return firstIf(b.Beyond)
+	case a.OverRate != b.OverRate:
+		return firstIf(b.OverRate)
 	case a.Lasting != b.Lasting:
 		return firstIf(a.Lasting)
 	}
@@ -113,7 +113,7 @@
 //
 // A task that does not fit anywhere reserves the emptiest candidate, so that small tasks behind it can't starve it.
 // A task that waits for its organisation's cap reserves none, since capacity would not help it.
-func Tasks(groups []*Group, candidates []*Room, draft *org.Draft) []Choice {
+func Tasks(groups []*Group, candidates []*Candidate, draft *org.Draft) []Choice {
 	var out []Choice
 	var unplaceable []job.Need // unconditional needs for which no candidate was found
 	reserved := 0
@@ -133,14 +133,14 @@
 		}
 		before := len(out)
 		for _, t := range g.Tasks {
-			if t.Held || (t.Suspect && !step.Gang) {
+			if t.BackingOff || (t.Suspect && !step.Gang) {
 				continue // backing off, or to be placed by PlaceSuspects
 			}
 			if !draft.Admits(g.organisation(), step.Need, 1) {
 				g.Capped = true
 				break
 			}
-			var r *Room
+			var r *Candidate
 			if unconditional && !step.Lasting && step.Rack == "" {
 				r = free.bestFit(charge(step), t.Avoid)
 			} else {
@@ -150,9 +150,9 @@
 				if unconditional {
 					unplaceable = append(unplaceable, charge(step))
 				}
-				if !g.Beyond && (step.Lasting || reserved < maxReserved) {
+				if !g.OverRate && (step.Lasting || reserved < maxReserved) {
 					if kept := emptiest(g, step, candidates); kept != nil {
-						candidates = slices.DeleteFunc(slices.Clone(candidates), func(o *Room) bool { return o == kept })
+						candidates = slices.DeleteFunc(slices.Clone(candidates), func(o *Candidate) bool { return o == kept })
 						free.remove(kept)
 					}
 					reserved++
@@ -162,16 +162,16 @@
 			free.remove(r)
 			reserve(g, r)
 			free.insert(r)
-			draft.Take(g.organisation(), step.Need)
-			out = append(out, Choice{Task: t, Room: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack})
+			draft.Acquire(g.organisation(), step.Need)
+			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack})
 		}
 		if step.Gang && len(out)-before < len(g.Tasks) {
 			for _, c := range out[before:] {
-				indexed := free.remove(c.Room) // not if it has been reserved
-				release(g, c.Room)
-				draft.Return(g.organisation(), step.Need)
+				indexed := free.remove(c.Candidate) // not if it has been reserved
+				release(g, c.Candidate)
+				draft.Release(g.organisation(), step.Need)
 				if indexed {
-					free.insert(c.Room)
+					free.insert(c.Candidate)
 				}
 			}
 			out = out[:before]
@@ -181,10 +181,10 @@
 }
 
 // emptiest returns the emptiest candidate that the step may use once it has enough free capacity, or nil.
-func emptiest(g *Group, step *job.Step, candidates []*Room) *Room {
-	var best *Room
+func emptiest(g *Group, step *job.Step, candidates []*Candidate) *Candidate {
+	var best *Candidate
 	for _, r := range candidates {
-		if !atLeast(r.Worker.Room, charge(step)) || !mayRun(g, step, r) {
+		if !atLeast(r.Worker.Capacity, charge(step)) || !mayRun(g, step, r) {
 			continue
 		}
 		if best == nil || r.Free.MilliCPU > best.Free.MilliCPU {
@@ -210,15 +210,15 @@
 	return a.MilliCPU >= b.MilliCPU && a.MemoryMB >= b.MemoryMB && a.GPU >= b.GPU
 }
 
-func reserve(g *Group, r *Room) {
+func reserve(g *Group, r *Candidate) {
 	adjust(g, r, -1)
 }
 
-func release(g *Group, r *Room) {
+func release(g *Group, r *Candidate) {
 	adjust(g, r, 1)
 }
 
-func adjust(g *Group, r *Room, sign int) {
+func adjust(g *Group, r *Candidate, sign int) {
 	step := &g.Job.Spec.Steps[g.Step]
 	n := charge(step)
 	r.Free.MilliCPU += sign * n.MilliCPU
@@ -238,10 +238,10 @@
 }
 
 // bestCandidate returns the best candidate for the task, or nil if none has enough free capacity.
-func bestCandidate(g *Group, t *job.Task, candidates []*Room) *Room {
+func bestCandidate(g *Group, t *job.Task, candidates []*Candidate) *Candidate {
 	step := &g.Job.Spec.Steps[g.Step]
 	need := charge(step)
-	var best *Room
+	var best *Candidate
 	var bestScore float64
 	for _, r := range candidates {
 		if !atLeast(r.Free, need) || !mayRun(g, step, r) {
@@ -256,7 +256,7 @@
 }
 
 // mayRun reports whether the step's conditions, other than its need, allow another task on the worker.
-func mayRun(g *Group, step *job.Step, r *Room) bool {
+func mayRun(g *Group, step *job.Step, r *Candidate) bool {
 	if step.Label != "" && !slices.Contains(r.Worker.Labels, step.Label) {
 		return false
 	}
@@ -270,7 +270,7 @@
 }
 
 // Fits returns how many of the step's tasks the candidate can take now.
-func (g *Group) Fits(r *Room) int {
+func (g *Group) Fits(r *Candidate) int {
 	step := &g.Job.Spec.Steps[g.Step]
 	if !mayRun(g, step, r) {
 		return 0
@@ -324,7 +324,7 @@
 
 // score returns the score of a candidate; higher is better. The fullest candidate with enough free capacity is best,
 // so that other workers become empty and can be used elsewhere.
-func score(g *Group, t *job.Task, step *job.Step, r *Room) float64 {
+func score(g *Group, t *job.Task, step *job.Step, r *Candidate) float64 {
 	s := -r.freePart()
 	if step.Rack != "" && slices.Contains(r.Worker.Labels, step.Rack) {
 		s += nearWeight
@@ -342,7 +342,7 @@
 	if r.Serving+r.Filling > 0 {
 		s += togetherWeight
 	}
-	if r.Due {
+	if r.UpkeepDue {
 		s -= dueWeight
 	}
 	if step.Fills {
--- a/pool/advice.go
+++ b/pool/advice.go
@@ -86,7 +86,7 @@
 	}
 	c.advising = true
 	timeout := q.Advice.Decide + time.Duration(len(lives))*q.Advice.Each + adviseMargin
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, timeout)
 		defer cancel()
 		tickets, err := c.Advise(ctx, name, lives)
--- a/pool/advice_test.go
+++ b/pool/advice_test.go
@@ -17,14 +17,14 @@
 // exclude workers from the second job.
 func TestTicketsGoWithTheirJob(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(2)
-	b := newBench(c, []*job.Job{j}, "w1")
+	j := jobWithTasks(2)
+	b := newFixture(c, []*job.Job{j}, "w1")
 	b.Intake[0].Append = func(context.Context, feed.Batch) (int64, error) { return 1, nil }
 	name := stepName(b.task(0))
 	b.tickets[name] = &stepTickets{refused: map[string]time.Time{"w1": time.Now()}}
 	ended := b.jobs[j.Spec.ID]
 	ended.Cancel(time.Now())
-	ended.KeptVersion = ended.Version
+	ended.StoredVersion = ended.Version
 	b.forget(time.Now())
 	c.Assert(b.tickets, quicktest.HasLen, 1, quicktest.Commentf("its state is still owed"))
 	b.forget(time.Now().Add(time.Hour))
--- a/pool/age_test.go
+++ b/pool/age_test.go
@@ -19,10 +19,10 @@
 	c := quicktest.New(t)
 	now := time.Now()
 	jobs := []*job.Job{aged("00000000000000a1", now.Add(-20*time.Second)), aged("00000000000000a2", now)}
-	b := newBench(c, jobs, "w1")
-	b.reports("w1", 100, nil)
-	c.Assert(b.ordered(), quicktest.Equals, 4) // the worker has room for one of the jobs
-	for _, p := range b.planned {
+	b := newFixture(c, jobs, "w1")
+	b.report("w1", 100, nil)
+	c.Assert(b.placeAndCount(), quicktest.Equals, 4) // the worker has room for one of the jobs
+	for _, p := range b.plannedStarts {
 		c.Check(p.task.Job.Spec.ID, quicktest.Equals, "00000000000000a2", quicktest.Commentf("the other can't be in time"))
 	}
 }
--- a/pool/aside.go
+++ b/pool/aside.go
@@ -18,10 +18,10 @@
 
 // setAside updates the set of rejected records after a batch: it adds those rejected now and removes those that have been stored. Nothing of a job with a
 // rejected record starts; the record is tried again when the job has changed.
-func (c *session) setAside(m *commitEnded) {
+func (c *session) setAside(m *commitBatch) {
 	for _, a := range m.aside {
 		c.aside[a.Key] = true
-		c.counts.aside.Inc(1)
+		c.counts.recordsAside.Inc(1)
 		c.emit(event.RecordRefused, event.Subject{Entry: c.Entry}, "kept aside: %v", a)
 		c.excludeDependents(m, a)
 	}
@@ -53,11 +53,11 @@
 		return
 	}
 	delete(c.aside, key)
-	c.dirtyAll()
+	c.markAllDirty()
 }
 
 // excludeDependents removes what depends on a rejected record from the batch's results.
-func (c *session) excludeDependents(m *commitEnded, a keep.Aside) {
+func (c *session) excludeDependents(m *commitBatch, a keep.Aside) {
 	for _, prefix := range append(sidePrefixes[:], stateKey) {
 		if id, ok := strings.CutPrefix(a.Key, prefix); ok {
 			c.excludeJob(m, c.jobs[id])
@@ -71,7 +71,7 @@
 }
 
 // excludeJob removes a job that is not stored from the batch's results, and cancels its planned starts.
-func (c *session) excludeJob(m *commitEnded, j *job.Job) {
+func (c *session) excludeJob(m *commitBatch, j *job.Job) {
 	if j == nil {
 		return
 	}
@@ -84,7 +84,7 @@
 			continue
 		}
 		if p.worker.runs[p.task] == p.run {
-			p.worker.drop(p.task)
+			p.worker.dropRun(p.task)
 			c.requeue(p.task)
 		}
 	}
--- a/pool/backoff.go
+++ b/pool/backoff.go
@@ -8,14 +8,14 @@
 const (
 	// refusedBackoff is the pause after the second consecutive refusal of a task's start. The first refusal is
 	// retried at once, because its reason may concern the worker only.
-	refusedPause = 20 * time.Millisecond
+	refusedBackoff = 20 * time.Millisecond
 	// maxBackoff limits every pause: a lasting task must not be down for three seconds while there is room for it.
 	maxBackoff = 1600 * time.Millisecond
 )
 
 // backoff returns the pause before the next attempt after a number of consecutive failures: none for 0, then first,
 // doubling with each further failure up to maxBackoff.
-func backOff(failures int, first time.Duration) time.Duration {
+func backoff(failures int, first time.Duration) time.Duration {
 	if failures <= 0 {
 		return 0
 	}
--- a/pool/backoff_test.go
+++ b/pool/backoff_test.go
@@ -18,14 +18,14 @@
 )
 
 // runFor runs the passes of the control goroutine for the given time.
-func (b *bench) runFor(span time.Duration) {
+func (b *fixture) runFor(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
-		b.passTime(time.Now())
+		b.runTimers(time.Now())
 		for _, p := range b.pools {
-			p.dirty, p.next = true, time.Time{}
+			p.dirty, p.nextLookAt = true, time.Time{}
 		}
 		b.placeAll(time.Now())
 		b.commit()
@@ -35,7 +35,7 @@
 
 // TestWhatFailsIsTriedLessAndLess guards against retries without a limit or at a constant rate.
 func TestWhatFailsIsTriedLessAndLess(t *testing.T) {
-	for _, why := range [...]work.Refusal{work.Unknown, work.Late, work.Old} {
+	for _, why := range [...]work.Refusal{work.InvalidOrder, work.DeadlinePassed, work.OldRun} {
 		t.Run("refused: "+why.String(), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testRefusedEverywhere(t, why) }) })
 	}
 	t.Run("a lasting task that fails at once", func(t *testing.T) { synctest.Test(t, testFailsAtOnce) })
@@ -46,9 +46,9 @@
 // tasks in the pool must start meanwhile.
 func testRefusedEverywhere(t *testing.T, why work.Refusal) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1", "w2", "w3", "w4")
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1", "w2", "w3", "w4")
 	for life := range b.workers {
-		b.reports(life, 10, nil)
+		b.report(life, 10, nil)
 	}
 	var refused, others atomic.Int64
 	b.Calls.Start = func(_ context.Context, _ *work.Worker, o work.Start) (work.Answer, error) {
@@ -61,7 +61,7 @@
 	}
 	b.runFor(time.Second)
 	s := &job.Spec{ID: "00000000000000b2", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 12, Need: job.Need{MilliCPU: 1000}}}}
-	b.openJob(b.readIntake(0, record(c, job.OwnedBy("", s.ID).HandedInKey(), s), time.Now()), time.Now())
+	b.openJob(b.readIntake(0, record(c, job.Qualify("", s.ID).SubmissionKey(), s), time.Now()), time.Now())
 	b.runFor(200 * time.Millisecond)
 	c.Check(others.Load(), quicktest.Equals, int64(12))
 	b.runFor(9 * time.Second)
@@ -73,11 +73,11 @@
 // a task that has served for some time must be restarted at once.
 func testFailsAtOnce(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(2)
+	j := jobWithTasks(2)
 	j.Spec.Steps[0].Lasting = true
-	b := newBench(c, []*job.Job{j}, "w1", "w2")
-	b.reports("w1", 10, nil)
-	b.reports("w2", 10, nil)
+	b := newFixture(c, []*job.Job{j}, "w1", "w2")
+	b.report("w1", 10, nil)
+	b.report("w2", 10, nil)
 	b.fenced["m-w1"], b.fenced["m-w2"] = true, true
 	starts := make(map[string]int)
 	ends := make(map[string]int64)
@@ -93,8 +93,8 @@
 				ends[life]++
 				n := ends[life]
 				mu.Unlock()
-				b.post(holdEnded{worker: workers[life], asked: time.Now(), report: work.Report{
-					Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.End{{N: n, Task: o.Task, Run: o.Run, How: work.Failed}}}})
+				b.post(holdResult{worker: workers[life], asked: time.Now(), report: work.Report{
+					Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.EndedRun{{Seq: n, Task: o.Task, Run: o.Run, Outcome: work.Failed}}}})
 			}
 		})
 		starts[o.Task]++
@@ -105,11 +105,11 @@
 	c.Check(starts[taskName] <= 20, quicktest.IsTrue, quicktest.Commentf("%d starts", starts[taskName]))
 
 	served := b.task(1)
-	served.Since = time.Now().Add(-time.Minute)
+	served.RunSince = time.Now().Add(-time.Minute)
 	w := b.workers[served.Worker]
 	c.Assert(w, quicktest.IsNotNil)
 	before := starts[served.Name()]
-	b.post(holdEnded{worker: w, asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: 1 << 40}, Ended: []work.End{{N: 1000, Task: served.Name(), Run: served.Run, How: work.Failed}}}})
+	b.post(holdResult{worker: w, asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: 1 << 40}, Ended: []work.EndedRun{{Seq: 1000, Task: served.Name(), Run: served.Run, Outcome: work.Failed}}}})
 	b.runFor(150 * time.Millisecond)
 	c.Check(starts[served.Name()], quicktest.Equals, before+1)
 }
@@ -117,17 +117,17 @@
 // testUnknownOutcome ends each run of a task at once with an outcome that this version does not know.
 func testUnknownOutcome(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1", "w2")
-	b.reports("w1", 10, nil)
-	b.reports("w2", 10, nil)
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1", "w2")
+	b.report("w1", 10, nil)
+	b.report("w2", 10, nil)
 	starts := int64(0)
 	workers := maps.Clone(b.workers)
 	b.Calls.Start = func(_ context.Context, x *work.Worker, o work.Start) (work.Answer, error) {
 		starts++
 		n, life := starts, x.Life
 		time.AfterFunc(10*time.Millisecond, func() {
-			b.post(holdEnded{worker: workers[life], asked: time.Now(), report: work.Report{
-				Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.End{{N: n, Task: o.Task, Run: o.Run, How: work.Other}}}})
+			b.post(holdResult{worker: workers[life], asked: time.Now(), report: work.Report{
+				Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.EndedRun{{Seq: n, Task: o.Task, Run: o.Run, Outcome: work.Other}}}})
 		})
 		return work.Answer{Clock: work.Clock(100 * n)}, nil
 	}
--- a/pool/callsemaphore.go
+++ b/pool/callsemaphore.go
@@ -15,16 +15,16 @@
 	callSlotTimeout = 100 * time.Millisecond
 )
 
-// callLimiter limits the concurrency of calls that are made to all workers at once. A burst of thousands of calls
+// callSemaphore limits the concurrency of calls that are made to all workers at once. A burst of thousands of calls
 // would delay the leader's own renewals, on a small entry for longer than candidates wait for one. Unanswered calls
 // free their slot after callSlotTimeout, so unreachable workers don't block the others for long.
-type callLimiter chan struct{}
+type callSemaphore chan struct{}
 
-func newCallLimiter() callLimiter { return make(callLimiter, maxLimitedCalls) }
+func newCallSemaphore() callSemaphore { return make(callSemaphore, maxLimitedCalls) }
 
 // acquire waits for a free slot or the end of the context. The caller must call release once the call has been
 // answered.
-func (l callLimiter) enter(ctx context.Context) (release func()) {
+func (l callSemaphore) acquire(ctx context.Context) (release func()) {
 	select {
 	case <-ctx.Done():
 		return func() {}
--- a/pool/callsemaphore_test.go
+++ b/pool/callsemaphore_test.go
@@ -16,12 +16,12 @@
 func TestABurstGoesAFewAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		limiter := newCallLimiter()
+		limiter := newCallSemaphore()
 		var inFlight, highest, done atomic.Int64
 		began := time.Now()
 		for i := range 6000 {
 			go func() {
-				release := limiter.enter(context.Background())
+				release := limiter.acquire(context.Background())
 				if i%6 == 0 {
 					time.Sleep(2 * time.Second)
 				} else {
--- a/pool/capacity_test.go
+++ b/pool/capacity_test.go
@@ -18,10 +18,10 @@
 )
 
 // setCapacity has the list show that a worker has that much CPU.
-func (b *bench) setCapacity(life string, milliCPU int) {
+func (b *fixture) setCapacity(life string, milliCPU int) {
 	w := b.workers[life]
 	row := w.Worker
-	row.Room.MilliCPU = milliCPU
+	row.Capacity.MilliCPU = milliCPU
 	b.updateWorker(w, row)
 }
 
@@ -30,32 +30,32 @@
 func TestAStartThatNoLongerFitsDoesNotLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, []*job.Job{one(4)}, "w1")
-		b.reports("w1", 10, nil)
+		b := newFixture(c, []*job.Job{jobWithTasks(4)}, "w1")
+		b.report("w1", 10, nil)
 		var sent atomic.Int64
 		b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 			sent.Add(1)
 			return work.Answer{Clock: 20}, nil
 		}
-		c.Assert(b.ordered(), quicktest.Equals, 4)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 4)
 		b.setCapacity("w1", 2500)
-		b.keeps()
+		b.commitAll()
 		synctest.Wait()
 		c.Check(sent.Load(), quicktest.Equals, int64(2))
 		c.Check(b.workers["w1"].room.Free.MilliCPU, quicktest.Equals, 500)
 		b.setCapacity("w1", 4000)
-		b.reports("w1", 30, []work.Row{{Task: startedTaskName(b, 0), Run: startedRun(b, 0)}, {Task: startedTaskName(b, 1), Run: startedRun(b, 1)}})
-		c.Check(b.ordered(), quicktest.Equals, 2)
+		b.report("w1", 30, []work.RunStatus{{Task: startedTaskName(b, 0), Run: startedRun(b, 0)}, {Task: startedTaskName(b, 1), Run: startedRun(b, 1)}})
+		c.Check(b.placeAndCount(), quicktest.Equals, 2)
 	})
 }
 
 // startedTaskName returns the name of the n-th task that is not waiting.
-func startedTaskName(b *bench, n int) string { return startedTasks(b)[n].Name() }
+func startedTaskName(b *fixture, n int) string { return startedTasks(b)[n].Name() }
 
 // startedRun returns the run number of the n-th task that is not waiting.
-func startedRun(b *bench, n int) int64 { return startedTasks(b)[n].Run }
+func startedRun(b *fixture, n int) int64 { return startedTasks(b)[n].Run }
 
-func startedTasks(b *bench) []*job.Task {
+func startedTasks(b *fixture) []*job.Task {
 	var out []*job.Task
 	tasks := b.jobs["00000000000000a1"].Tasks
 	for i := range tasks {
@@ -71,15 +71,15 @@
 func TestWhatAWorkerRunsBesidesCounts(t *testing.T) {
 	c := quicktest.New(t)
 	other := job.New(&job.Spec{ID: "00000000000000c3", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Need: job.Need{MilliCPU: 3500}}}}, time.Now())
-	b := newBench(c, []*job.Job{one(4), other}, "w1", "w2")
+	b := newFixture(c, []*job.Job{jobWithTasks(4), other}, "w1", "w2")
 	done := b.jobs["00000000000000c3"]
 	done.Done(&done.Tasks[0], time.Now())
-	b.reports("w1", 10, []work.Row{{Task: "00000000000000c3.0.0.0", Run: 7}})
-	c.Check(b.ordered(), quicktest.Equals, 0) // 500 milliCPU are left
-	b.reports("w1", 20, []work.Row{{Task: "00000000000000ff.0.0.0", Run: 7}})
-	c.Check(b.ordered(), quicktest.Equals, 0) // how much an unknown run uses is not known
-	b.reports("w1", 30, nil)
-	c.Check(b.ordered(), quicktest.Equals, 4)
+	b.report("w1", 10, []work.RunStatus{{Task: "00000000000000c3.0.0.0", Run: 7}})
+	c.Check(b.placeAndCount(), quicktest.Equals, 0) // 500 milliCPU are left
+	b.report("w1", 20, []work.RunStatus{{Task: "00000000000000ff.0.0.0", Run: 7}})
+	c.Check(b.placeAndCount(), quicktest.Equals, 0) // how much an unknown run uses is not known
+	b.report("w1", 30, nil)
+	c.Check(b.placeAndCount(), quicktest.Equals, 4)
 }
 
 // TestFreeRoomIsWhatAPlainCountGives guards against a worker's free capacity drifting from what its runs leave. It compares
@@ -89,24 +89,24 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
 			r := rand.New(rand.NewPCG(seed, 3))
-			b := newBench(c, []*job.Job{one(12)}, "w1", "w2")
+			b := newFixture(c, []*job.Job{jobWithTasks(12)}, "w1", "w2")
 			var answers atomic.Uint64 // calls are made concurrently
 			b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 				n := answers.Add(seed + 1)
-				return work.Answer{Refusal: []work.Refusal{work.Done, work.Done, work.NoRoom, work.Late}[n%4], Clock: 5}, nil
+				return work.Answer{Refusal: []work.Refusal{work.Accepted, work.Accepted, work.NoRoom, work.DeadlinePassed}[n%4], Clock: 5}, nil
 			}
 			n, clock := int64(0), work.Clock(10)
-			b.reports("w1", clock, nil)
+			b.report("w1", clock, nil)
 			for range 40 {
 				w := b.workers["w1"]
 				switch r.IntN(6) {
 				case 0:
 					b.setCapacity("w1", 500*r.IntN(12))
 				case 1:
-					b.ordered()
-					b.keeps()
+					b.placeAndCount()
+					b.commitAll()
 				case 2:
-					b.endLease(w, time.Now())
+					b.expireLease(w, time.Now())
 				case 3:
 					for t := range w.runs {
 						b.stopTask(w, t, "room is needed")
@@ -114,26 +114,26 @@
 					}
 				default:
 					clock += 100
-					var rows []work.Row
-					var ends []work.End
+					var rows []work.RunStatus
+					var ends []work.EndedRun
 					for t, x := range w.runs {
 						if r.IntN(3) == 0 {
 							n++
-							ends = append(ends, work.End{N: n, Task: t.Name(), Run: x.number, How: []work.How{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
+							ends = append(ends, work.EndedRun{Seq: n, Task: t.Name(), Run: x.number, Outcome: []work.Outcome{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
 						} else if x.sent {
-							rows = append(rows, work.Row{Task: t.Name(), Run: x.number})
+							rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number})
 						}
 					}
 					if r.IntN(3) == 0 {
-						rows = append(rows, work.Row{Task: taskName, Run: 1})
+						rows = append(rows, work.RunStatus{Task: taskName, Run: 1})
 					}
-					b.reports("w1", clock, rows, ends...)
+					b.report("w1", clock, rows, ends...)
 				}
-				free := w.Room
+				free := w.Capacity
 				for t := range w.runs {
 					free = free.Minus(place.Charge(t.Spec()))
 				}
-				for _, x := range w.besides {
+				for _, x := range w.supersededRuns {
 					free = free.Minus(place.Charge(x.step))
 				}
 				c.Assert(w.room.Free, quicktest.Equals, free, quicktest.Commentf("seed %d", seed))
@@ -149,15 +149,15 @@
 	c := quicktest.New(t)
 	now := time.Now()
 	w := &worker{}
-	w.coldFor(0, now)
+	w.updateCold(0, now)
 	c.Assert(now.Before(w.coldUntil), quicktest.IsFalse)
-	w.coldFor(5*time.Second, now)
+	w.updateCold(5*time.Second, now)
 	w.Cold = 5 * time.Second
-	w.coldFor(5*time.Second, now.Add(4*time.Second)) // the same entry again
+	w.updateCold(5*time.Second, now.Add(4*time.Second)) // the same entry again
 	c.Assert(w.coldUntil, quicktest.Equals, now.Add(5*time.Second))
-	w.coldFor(time.Second, now.Add(time.Second))
+	w.updateCold(time.Second, now.Add(time.Second))
 	c.Assert(w.coldUntil, quicktest.Equals, now.Add(2*time.Second))
 	w.Cold = time.Second
-	w.coldFor(8*time.Second, now.Add(10*time.Second)) // the worker is cold again, after a drain
+	w.updateCold(8*time.Second, now.Add(10*time.Second)) // the worker is cold again, after a drain
 	c.Assert(w.coldUntil, quicktest.Equals, now.Add(18*time.Second))
 }
--- a/pool/commit.go
+++ b/pool/commit.go
@@ -17,11 +17,11 @@
 const (
 	// batchMax bounds the bytes of one batch unless the adapter sets another bound. It is half of the 2 MB that the users' store accepts in one call. With
 	// a bound of 400 jobs, only 50 of 15,000 runs started at 5,000 jobs a second and a store latency of 200 ms.
-	batchMost = 1 << 20
+	batchMax = 1 << 20
 )
 
 // commitBatch describes the contents of a batch that is being stored.
-type commitEnded struct {
+type commitBatch struct {
 	versions map[*job.Job]int64
 	lives    []string      // may be given work once the batch is stored
 	waves    map[int64]int // the versions of waves in the batch
@@ -37,44 +37,44 @@
 	if c.committing {
 		return
 	}
-	if c.dirty.Empty() && len(c.gone) == 0 && !c.takenDirty && len(c.takenGone) == 0 && c.livesDirty.Empty() && !c.wavesDirty() {
+	if c.dirtyJobs.Empty() && len(c.forgottenJobs) == 0 && !c.idConflictsDirty && len(c.idConflictsDropped) == 0 && c.dirtyLives.Empty() && !c.wavesDirty() {
 		return
 	}
-	done := &commitEnded{versions: make(map[*job.Job]int64), waves: make(map[int64]int)}
+	done := &commitBatch{versions: make(map[*job.Job]int64), waves: make(map[int64]int)}
 	var records []feed.KeyedRecord
-	records = c.keepLives(done, records)
-	records = c.keepWaves(done, records)
+	records = c.appendLifeRecords(done, records)
+	records = c.storeWaves(done, records)
 	records = c.appendStats(c.now(), records)
-	records = c.keepTaken(records)
-	for _, id := range c.gone {
+	records = c.appendIDConflicts(records)
+	for _, id := range c.forgottenJobs {
 		records = append(records, feed.KeyedRecord{Key: stateKey + id})
 		for _, prefix := range sidePrefixes {
 			records = c.dropSideRecord(records, prefix+id)
 		}
 	}
-	c.gone = c.gone[:0]
+	c.forgottenJobs = c.forgottenJobs[:0]
 	records = c.appendJobs(done, records)
-	done.starts, c.planned = c.splitStarts(c.planned)
+	done.starts, c.plannedStarts = c.splitStarts(c.plannedStarts)
 	c.committing, c.inFlight = true, done
-	c.commitSince = c.now()
-	c.work.Go(func() { c.storeBatch(records, done) })
+	c.commitStartedAt = c.now()
+	c.background.Go(func() { c.storeBatch(records, done) })
 }
 
 // appendJobs appends the records of changed jobs until the batch is full.
-func (c *session) appendJobs(done *commitEnded, records []feed.KeyedRecord) []feed.KeyedRecord {
-	size := sizeOf(records)
+func (c *session) appendJobs(done *commitBatch, records []feed.KeyedRecord) []feed.KeyedRecord {
+	size := recordsSize(records)
 	var refused []*job.Job // they stay dirty, so that no start or acknowledgement that depends on them is sent
 	defer func() {
 		for _, j := range refused {
-			c.dirty.Add(j.Spec.ID, j)
+			c.dirtyJobs.Add(j.Spec.ID, j)
 		}
 	}()
-	for size < c.batchMost {
-		_, j, ok := c.dirty.Next()
+	for size < c.maxBatchBytes {
+		_, j, ok := c.dirtyJobs.Next()
 		if !ok {
 			break
 		}
-		value, err := job.Encode(j.Keep())
+		value, err := job.Encode(j.Stored())
 		if err != nil {
 			c.emit(event.RecordRefused, event.Subject{Job: j.Spec.ID}, "not kept: %v", err)
 			refused = append(refused, j)
@@ -103,7 +103,7 @@
 // encodeSideRecords returns the side records of a job: the runs that were lost with their worker's life, and the starts that may be carried out late. It
 // includes deletions of stored records that are no longer needed.
 func (c *session) encodeSideRecords(j *job.Job) ([]feed.KeyedRecord, error) {
-	lost, late := j.KeepLost(), j.KeepLate(c.now(), timeOfDay())
+	lost, late := j.StoredLost(), j.StoredLate(c.now(), wallClock())
 	var records []feed.KeyedRecord
 	for _, x := range [...]struct {
 		key   string
@@ -139,7 +139,7 @@
 // splitStarts splits the planned runs into those stored by the current batch and those whose jobs are left for the next one.
 func (c *session) splitStarts(planned []plannedStart) (stored, later []plannedStart) {
 	for _, p := range planned {
-		if c.dirty.Has(p.task.Job.Spec.ID) {
+		if c.dirtyJobs.Has(p.task.Job.Spec.ID) {
 			later = append(later, p)
 			continue
 		}
@@ -149,7 +149,7 @@
 }
 
 // recordsSize returns the size of the records in bytes.
-func sizeOf(records []feed.KeyedRecord) int {
+func recordsSize(records []feed.KeyedRecord) int {
 	size := 0
 	for _, r := range records {
 		size += len(r.Key) + len(r.Value)
@@ -161,7 +161,7 @@
 func (c *session) newWriter() *keep.Writer {
 	return &keep.Writer{
 		Call: func(ctx context.Context, b feed.Batch) (int64, error) { return c.State.Append(ctx, b) },
-		Name: writer, Epoch: c.term.Fence, RecordMost: c.RecordMost,
+		Name: writerName, Epoch: c.term.Fence, RecordMost: c.MaxRecordBytes,
 		Failing: func(err error) {
 			c.emit(event.StoreUnreachable, event.Subject{Entry: c.Entry}, "state not kept: %v", err)
 		},
@@ -170,7 +170,7 @@
 }
 
 // storeBatch retries until the store has accepted the batch, except for records that it rejects for good.
-func (c *session) storeBatch(records []feed.KeyedRecord, done *commitEnded) {
+func (c *session) storeBatch(records []feed.KeyedRecord, done *commitBatch) {
 	aside, err := c.writer.Append(c.ctx, records)
 	switch {
 	case err == nil:
@@ -185,16 +185,16 @@
 }
 
 // batchStored reports that the store has accepted the batch.
-type batchStored struct{ *commitEnded }
+type batchStored struct{ *commitBatch }
 
 func (m batchStored) apply(c *session) {
 	c.committing, c.inFlight = false, nil
-	took := m.answeredAt.Load().Sub(c.commitSince)
+	took := m.answeredAt.Load().Sub(c.commitStartedAt)
 	c.counts.batch.RecordDuration(took)
 	c.recordBatchTime(took)
-	c.setAside(m.commitEnded)
+	c.setAside(m.commitBatch)
 	for j, v := range m.versions {
-		j.KeptVersion = max(j.KeptVersion, v)
+		j.StoredVersion = max(j.StoredVersion, v)
 		c.noteStored(j)
 		if j.State.Ended() && v == j.Version {
 			c.counts.jobs.RecordDuration(c.now().Sub(j.Received))
@@ -207,16 +207,16 @@
 	for w := range c.unacked {
 		c.ackStored(w)
 	}
-	c.keptLives(m.lives)
-	c.held = append(c.held, m.starts...)
-	c.sendHeld(c.now())
+	c.markLivesStored(m.lives)
+	c.storedStarts = append(c.storedStarts, m.starts...)
+	c.sendStored(c.now())
 	for n, version := range m.waves {
-		c.waveKept(n, version)
+		c.waveStored(n, version)
 	}
 }
 
 // unstoredEnd is an end that a worker has reported and must not forget before the job is stored with at least the given version.
-type unkeptEnd struct {
+type unstoredEnd struct {
 	n       int64
 	job     *job.Job // nil if the job is unknown
 	version int64
@@ -226,23 +226,23 @@
 }
 
 // mayAck reports whether the end may be acknowledged, so that the worker may forget it.
-func (e unkeptEnd) mayAck(now time.Time) bool {
-	return (e.job == nil || e.job.KeptVersion >= e.version) && !now.Before(e.ackAfter)
+func (e unstoredEnd) mayAck(now time.Time) bool {
+	return (e.job == nil || e.job.StoredVersion >= e.version) && !now.Before(e.ackAfter)
 }
 
 // ackStored acknowledges a worker's oldest ends as far as the changes that they made are stored.
 func (c *session) ackStored(w *worker) {
 	n, now := 0, c.now()
-	for n < len(w.ends) && w.ends[n].mayAck(now) {
+	for n < len(w.unackedEnds) && w.unackedEnds[n].mayAck(now) {
 		n++
 	}
-	w.ackDelayed.Store(n < len(w.ends) && now.Before(w.ends[n].ackAfter))
+	w.ackDelayed.Store(n < len(w.unackedEnds) && now.Before(w.unackedEnds[n].ackAfter))
 	if n > 0 {
-		w.ack(w.ends[n-1].n)
-		w.ends = w.ends[n:]
+		w.ack(w.unackedEnds[n-1].n)
+		w.unackedEnds = w.unackedEnds[n:]
 	}
-	if len(w.ends) == 0 {
-		w.ends = nil
+	if len(w.unackedEnds) == 0 {
+		w.unackedEnds = nil
 		delete(c.unacked, w)
 		return
 	}
@@ -250,15 +250,15 @@
 }
 
 // deleteIntakeRecords deletes a job's records from partitions of the intake. If that fails, the next leader deletes them.
-func (c *session) dropRecords(name job.Owned, parts uint64) {
+func (c *session) deleteIntakeRecords(name job.QualifiedID, parts uint64) {
 	_, id := name.Parts()
-	c.work.Go(func() {
+	c.background.Go(func() {
 		for part, topic := range c.Intake {
 			if parts&(1<<part) == 0 {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
-			_, err := topic.Append(ctx, feed.Batch{At: -1, Records: []feed.KeyedRecord{{Key: name.HandedInKey()}, {Key: name.CancelKey()}}})
+			_, err := topic.Append(ctx, feed.Batch{At: -1, Records: []feed.KeyedRecord{{Key: name.SubmissionKey()}, {Key: name.CancelKey()}}})
 			cancel()
 			if err != nil {
 				c.emit(event.StoreUnreachable, event.Subject{Job: id}, "old job not dropped: %v", err)
--- a/pool/connlimit_test.go
+++ b/pool/connlimit_test.go
@@ -30,7 +30,7 @@
 		p.mu.Lock()
 		if o.Idle && !p.open[w.Life] && len(p.open) >= p.limit {
 			p.mu.Unlock()
-			return work.Report{}, work.ErrCrowded
+			return work.Report{}, work.ErrTooManyConnections
 		}
 		p.open[w.Life] = true
 		p.holds[w.Life]++
@@ -38,12 +38,12 @@
 		sleep(ctx, o.Wait+time.Millisecond)
 		return work.Report{Answer: work.Answer{Clock: 10}}, nil
 	}
-	c.Crowded = func() bool {
+	c.ConnectionsScarce = func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return 10*len(p.open) > 8*p.limit
 	}
-	c.Rest = func(w *work.Worker) {
+	c.CloseIdle = func(w *work.Worker) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		delete(p.open, w.Life)
@@ -60,7 +60,7 @@
 		for i := range 60 {
 			lives = append(lives, fmt.Sprint("w", i))
 		}
-		b := newBench(c, nil, lives...)
+		b := newFixture(c, nil, lives...)
 		f := &connectionPool{limit: 20, open: make(map[string]bool), holds: make(map[string]int)}
 		f.calls(&b.Calls)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -73,7 +73,7 @@
 			for range d / (50 * time.Millisecond) {
 				time.Sleep(50 * time.Millisecond)
 				synctest.Wait()
-				for _, m := range b.inbox.take() {
+				for _, m := range b.inbox.takeAll() {
 					m.apply(b.session)
 				}
 			}
@@ -81,13 +81,13 @@
 		processFor(10 * time.Second)
 		heard := 0
 		for _, w := range b.workers {
-			if w.heard && w.silentSince.IsZero() {
+			if w.answered && w.silentSince.IsZero() {
 				heard++
 			}
 		}
 		c.Assert(heard, quicktest.Equals, 60)
-		b.watchModes(time.Now())
-		c.Assert(b.is(modeCrowded), quicktest.IsTrue)
+		b.updateModes(time.Now())
+		c.Assert(b.inMode(modeCrowded), quicktest.IsTrue)
 
 		processFor(3 * time.Second)
 		idle := ""
@@ -100,7 +100,7 @@
 		before := f.holds[idle]
 		f.mu.Unlock()
 		c.Assert(idle, quicktest.Not(quicktest.Equals), "")
-		b.addRun(b.workers[idle], &one(1).Tasks[0], &run{number: 1})
+		b.addRun(b.workers[idle], &jobWithTasks(1).Tasks[0], &run{number: 1})
 		processFor(time.Second)
 		f.mu.Lock()
 		c.Check(f.holds[idle] > before, quicktest.IsTrue, quicktest.Commentf("a worker that gets work must be called at once"))
@@ -113,7 +113,7 @@
 // took.
 func TestAWalkTakesATenthOfTheProcessor(t *testing.T) {
 	c := quicktest.New(t)
-	var x walk
+	var x scanPacer
 	now := time.Now()
 	c.Assert(x.due(now), quicktest.IsTrue)
 	x.end(now, now.Add(20*time.Millisecond))
@@ -126,12 +126,12 @@
 // its proof of the lead.
 func TestAskingIdleWorkersTakesAPartOfTheProcessor(t *testing.T) {
 	c := quicktest.New(t)
-	c.Assert(idleRest(350, 0.192), quicktest.Equals, time.Duration(0))
-	c.Assert(idleRest(6000, 1.6), quicktest.Equals, time.Duration(0))
-	c.Assert(idleRest(6000, 0.192) > 8*time.Second, quicktest.IsTrue)
-	c.Assert(idleRest(12000, 0), quicktest.Equals, time.Duration(0))
+	c.Assert(idlePollPause(350, 0.192), quicktest.Equals, time.Duration(0))
+	c.Assert(idlePollPause(6000, 1.6), quicktest.Equals, time.Duration(0))
+	c.Assert(idlePollPause(6000, 0.192) > 8*time.Second, quicktest.IsTrue)
+	c.Assert(idlePollPause(12000, 0), quicktest.Equals, time.Duration(0))
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(quicktest.New(t), nil, "w1", "w2")
+		b := newFixture(quicktest.New(t), nil, "w1", "w2")
 		b.Processor = 1e-6 // idle workers are then not called for minutes
 		var confirmed atomic.Pointer[time.Time]
 		confirm := func() {
@@ -145,7 +145,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		b.ctx = ctx
-		b.watchIdle(time.Now())
+		b.updateIdlePolling(time.Now())
 		for _, w := range b.workers {
 			b.startHolds(w)
 		}
@@ -155,14 +155,14 @@
 			return f.holds["w1"] + f.holds["w2"]
 		}
 		tick := func(d time.Duration) {
-			for range d / tickEvery {
-				time.Sleep(tickEvery)
-				b.watchIdle(time.Now())
+			for range d / tickInterval {
+				time.Sleep(tickInterval)
+				b.updateIdlePolling(time.Now())
 			}
 		}
 		for range 100 { // the store confirms
 			confirm()
-			tick(tickEvery)
+			tick(tickInterval)
 		}
 		confirmedCalls := holdCount()
 		b.c.Assert(confirmedCalls <= 4, quicktest.IsTrue, quicktest.Commentf("%d calls", confirmedCalls))
--- a/pool/cpushortage.go
+++ b/pool/cpushortage.go
@@ -30,7 +30,7 @@
 // cpuShortage distinguishes a leader that is short of processor time from a busy one. Its zero value is ready to use.
 type cpuShortage struct {
 	since time.Time
-	waits latency
+	waits schedLatency
 }
 
 // observe records how long goroutines waited for a processor since the previous call. It reports whether the leader
@@ -51,7 +51,7 @@
 		return
 	}
 	waited := c.cpuWait()
-	if !c.cpuShortage.observe(waited, now) || now.Sub(c.began) < minLeadTime {
+	if !c.cpuShortage.observe(waited, now) || now.Sub(c.startedAt) < minLeadTime {
 		return
 	}
 	c.emit(event.LeadHandedOver, event.Subject{Entry: c.Entry}, "term=%d waited=%v", c.term.Number, waited.Round(time.Millisecond))
@@ -63,5 +63,5 @@
 	if c.CPUWait != nil {
 		return c.CPUWait()
 	}
-	return c.cpuShortage.waits.since(waitQuantile)
+	return c.cpuShortage.waits.quantile(waitQuantile)
 }
--- a/pool/cpushortage_test.go
+++ b/pool/cpushortage_test.go
@@ -53,15 +53,15 @@
 	for _, waited := range [...]time.Duration{20 * time.Millisecond, 200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := newBench(c, nil)
+			b := newFixture(c, nil)
 			var handedOverAfter time.Duration
 			b.HandOver = func(int64) {
 				if handedOverAfter == 0 {
-					handedOverAfter = time.Since(b.began)
+					handedOverAfter = time.Since(b.startedAt)
 				}
 			}
 			b.CPUWait = func() time.Duration { return waited }
-			b.Intake, b.intakeEnd = nil, nil
+			b.Intake, b.intakeOffsets = nil, nil
 			b.Workers.Read = blockingRead
 			ctx, cancel := context.WithCancel(b.ctx)
 			b.ctx = ctx
@@ -81,8 +81,8 @@
 
 // TestWaitsForTheProcessorAreReadFromTheRuntime runs more goroutines than there are processors.
 func TestWaitsForTheProcessorAreReadFromTheRuntime(t *testing.T) {
-	var l latency
-	l.since(waitQuantile)
+	var l schedLatency
+	l.quantile(waitQuantile)
 	var work sync.WaitGroup
 	for range 4 * runtime.GOMAXPROCS(0) {
 		work.Go(func() {
@@ -94,5 +94,5 @@
 		})
 	}
 	work.Wait()
-	quicktest.Assert(t, l.since(waitQuantile) > 0, quicktest.IsTrue)
+	quicktest.Assert(t, l.quantile(waitQuantile) > 0, quicktest.IsTrue)
 }
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -42,8 +42,8 @@
 		t.Run(x.name, func(t *testing.T) {
 			givenUp := 0
 			for seed := range uint64(6 * *histories / 8) {
-				_, wrong := play(t, seed, func(h *history) {
-					h.longest = 800 * time.Millisecond
+				_, wrong := runHistory(t, seed, func(h *history) {
+					h.maxExtraTime = 800 * time.Millisecond
 					culprits := make(map[string]bool)
 					for i := range 40 {
 						lasting := x.lasting && i < x.culprits
@@ -59,7 +59,7 @@
 					stop()
 					time.Sleep(10 * time.Second) // until the last leader has been succeeded
 					givenUp += h.checkStates(culprits)
-					h.settle()
+					h.healAndCheck()
 				})
 				for _, y := range wrong {
 					t.Errorf("seed %d: %s", seed, y)
@@ -87,7 +87,7 @@
 			e := h.leader()
 			h.kill(e)
 			time.Sleep(time.Second)
-			h.restart(e)
+			h.restartEntry(e)
 		}
 	}()
 	return func() { close(done); <-ended }
@@ -97,14 +97,14 @@
 func (h *history) crashAt(task string, after time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.crashers[task] = after
+	h.crashDelays[task] = after
 }
 
 // checkStates checks that the culprits are shown as failed and all other jobs without lasting tasks as succeeded. It returns the number of other jobs that were
 // given up because at least two lives had ended under one task. The users accept these, since a task that repeatedly runs beside culprits can't be told from one.
 func (h *history) checkStates(culprits map[string]bool) int {
 	givenUp := 0
-	for id, spec := range h.asked {
+	for id, spec := range h.specs {
 		a, err := h.ask(id)
 		want := job.Succeeded
 		switch {
@@ -115,11 +115,11 @@
 		}
 		if want == job.Succeeded && a.State == job.Failed && h.lostTwice(id) {
 			givenUp++
-			h.forgive(id)
+			h.exclude(id)
 			continue
 		}
 		if err != nil || a.State != want {
-			h.wrong = append(h.wrong, fmt.Sprintf("STATE %s is %v instead of %v (%v): %v", id, a.State, want, err, h.runsOf(id)))
+			h.violations = append(h.violations, fmt.Sprintf("STATE %s is %v instead of %v (%v): %v", id, a.State, want, err, h.runsOf(id)))
 		}
 	}
 	return givenUp
@@ -129,14 +129,14 @@
 func (h *history) lostTwice(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for task, runs := range h.byTask {
+	for task, runs := range h.runsByTask {
 		lost := 0
 		for _, x := range runs {
-			if x.how == "lost" {
+			if x.outcome == "lost" {
 				lost++
 			}
 		}
-		if n, _ := job.ParseName(task); n.ID == id && lost >= job.LostProved {
+		if n, _ := job.ParseName(task); n.ID == id && lost >= job.LossLimitConclusive {
 			return true
 		}
 	}
@@ -144,11 +144,11 @@
 }
 
 // exclude leaves a job out of the check for missing jobs.
-func (h *history) forgive(id string) {
-	if h.forgiven == nil {
-		h.forgiven = make(map[string]bool)
+func (h *history) exclude(id string) {
+	if h.exempt == nil {
+		h.exempt = make(map[string]bool)
 	}
-	h.forgiven[id] = true
+	h.exempt[id] = true
 }
 
 // ask asks the entries in turn until one that schedules answers.
@@ -157,7 +157,7 @@
 	err := pool.ErrNotLeading
 	for _, e := range h.entries {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		a, err = e.scheduler.Ask(ctx, job.Question{ID: id})
+		a, err = e.scheduler.Ask(ctx, job.Query{ID: id})
 		cancel()
 		if err == nil {
 			break
@@ -171,9 +171,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []string
-	for i := range h.asked[id].Steps[0].Count {
-		for _, x := range h.byTask[fmt.Sprintf("%s.0.0.%d", id, i)] {
-			out = append(out, fmt.Sprintf("%d:%s", i, x.how))
+	for i := range h.specs[id].Steps[0].Count {
+		for _, x := range h.runsByTask[fmt.Sprintf("%s.0.0.%d", id, i)] {
+			out = append(out, fmt.Sprintf("%d:%s", i, x.outcome))
 		}
 	}
 	return out
@@ -184,19 +184,19 @@
 	givenUp := 0
 	for i := range *histories {
 		seed := *first + uint64(i)
-		_, wrong := play(t, seed, func(h *history) {
-			h.answersAgain = seed%2 == 0
+		_, wrong := runHistory(t, seed, func(h *history) {
+			h.repeatsBeforeFencing = seed%2 == 0
 			for range historySteps {
-				known := h.jobs
-				h.step()
-				for n := known + 1; n <= h.jobs; n++ {
+				known := h.jobCount
+				h.randomStep()
+				for n := known + 1; n <= h.jobCount; n++ {
 					if n%5 == 0 {
 						h.crashAt(fmt.Sprintf("%016x.0.0.0", n), time.Duration(5+n*37%500)*time.Millisecond)
 					}
 				}
 			}
-			h.settled = func() { givenUp += h.forgiveUnlucky() }
-			h.settle()
+			h.beforeCheck = func() { givenUp += h.excludeGivenUp() }
+			h.healAndCheck()
 		})
 		for _, x := range wrong {
 			t.Errorf("seed %d: %s", seed, x)
@@ -207,19 +207,19 @@
 
 // excludeGivenUp leaves out of the check for missing jobs those without a culprit that were given up, or whose lasting task may be parked, and returns
 // their number. In a pool of twelve instances most of which are down at a time, some tasks have four lives end under them or just after they were done.
-func (h *history) forgiveUnlucky() int {
+func (h *history) excludeGivenUp() int {
 	count := 0
-	for id, spec := range h.asked {
+	for id, spec := range h.specs {
 		a, err := h.ask(id)
 		for tries := 0; err != nil && tries < 20; tries++ { // a takeover may be under way
 			time.Sleep(500 * time.Millisecond)
 			a, err = h.ask(id)
 		}
-		if err != nil || h.hopeless(id+".0.0.0") {
+		if err != nil || h.mayBeGivenUp(id+".0.0.0") {
 			continue
 		}
 		if a.State == job.Failed || (spec.Steps[0].Lasting && h.lostTwice(id)) {
-			h.forgive(id)
+			h.exclude(id)
 			count++
 		}
 	}
--- a/pool/crashload_test.go
+++ b/pool/crashload_test.go
@@ -19,7 +19,7 @@
 	loadDuration   = 10 * time.Second
 	submitInterval = 55 * time.Millisecond
 	loadWorkers    = 8 // in each zone, half of them in the queue's pool
-	loadCapacity   = 16 * modelTask
+	loadCapacity   = 16 * simTaskCPU
 	// loadTargetLatency is the latency up to which a job is in time: a little more than twice its longest chain of tasks.
 	loadTargetLatency = 5 * time.Second
 )
@@ -57,7 +57,7 @@
 // crashed, and how many crashing tasks there were.
 func runLoad(t *testing.T, seed uint64, every int) (inTime float64, crashes, crashing int) {
 	_, violations := runHistoryWith(t, seed, loadWorkers, loadCapacity, 0, func(h *history) {
-		h.longest = 1500 * time.Millisecond
+		h.maxExtraTime = 1500 * time.Millisecond
 		submittedAt := make(map[string]time.Time)
 		crashingJobs := make(map[string]bool)
 		h.submitSteps(1, true, 4)
@@ -84,7 +84,7 @@
 		}
 		inTime /= float64(others)
 		crashing = len(crashingJobs)
-		for _, runs := range h.byTask {
+		for _, runs := range h.runsByTask {
 			for _, x := range runs {
 				if x.crashedWorker {
 					crashes++
@@ -99,12 +99,12 @@
 // completedAt returns when the last task of a job succeeded, or the zero time while one has not. The lock must be held.
 func (h *history) completedAt(id string) time.Time {
 	var last time.Time
-	for step := range h.asked[id].Steps {
-		for i := range h.asked[id].Steps[step].Count {
+	for step := range h.specs[id].Steps {
+		for i := range h.specs[id].Steps[step].Count {
 			var done time.Time
-			for _, x := range h.byTask[fmt.Sprintf("%s.0.%d.%d", id, step, i)] {
-				if x.how == "done" {
-					done = x.to
+			for _, x := range h.runsByTask[fmt.Sprintf("%s.0.%d.%d", id, step, i)] {
+				if x.outcome == "done" {
+					done = x.endedAt
 				}
 			}
 			if done.IsZero() {
@@ -120,12 +120,12 @@
 
 // submitSteps submits a job to a queue: one lasting step, or one or two that are not.
 func (h *history) submitSteps(queue int, lasting bool, tasks int) string {
-	h.jobs++
-	id := fmt.Sprintf("%016x", h.jobs)
-	need := job.Need{MilliCPU: modelTask, MemoryMB: 100}
+	h.jobCount++
+	id := fmt.Sprintf("%016x", h.jobCount)
+	need := job.Need{MilliCPU: simTaskCPU, MemoryMB: 100}
 	s := &job.Spec{ID: id, Queue: fmt.Sprint("q", queue), Pool: fmt.Sprint("p", queue)}
 	s.Steps = []job.Step{{Count: tasks, Need: need, Estimate: 1000, Lasting: lasting, MayMiss: 1}}
-	if !lasting && h.jobs%5 < 3 {
+	if !lasting && h.jobCount%5 < 3 {
 		s.Steps = append(s.Steps, job.Step{Count: tasks, Need: need, Estimate: 1000, After: []int{0}})
 	}
 	h.submitSpec(s)
--- a/pool/demand.go
+++ b/pool/demand.go
@@ -46,13 +46,13 @@
 )
 
 // needSample is the number of instances that a pool needed at a point in time.
-type need struct {
+type needSample struct {
 	at        time.Time
 	instances float64
 }
 
 // submission is work that was submitted at a point in time, in instance-seconds.
-type handed struct {
+type submission struct {
 	at   time.Time
 	work float64
 }
@@ -71,7 +71,7 @@
 }
 
 // instanceShare returns the share of an instance that a task uses.
-func share(need, instance job.Need) float64 {
+func instanceShare(need, instance job.Need) float64 {
 	if instance.MilliCPU == 0 || instance.MemoryMB == 0 {
 		return 0
 	}
@@ -83,9 +83,9 @@
 	var sum job.Need
 	n := 0
 	for _, w := range c.workers {
-		if w.Room.MilliCPU > 0 {
-			sum.MilliCPU += w.Room.MilliCPU
-			sum.MemoryMB += w.Room.MemoryMB
+		if w.Capacity.MilliCPU > 0 {
+			sum.MilliCPU += w.Capacity.MilliCPU
+			sum.MemoryMB += w.Capacity.MemoryMB
 			n++
 		}
 	}
@@ -98,21 +98,21 @@
 // countLoads recomputes the load of each pool from its workers and its waiting tasks.
 func (c *session) countLoads() {
 	instance := c.meanInstance()
-	c.whole = instance
+	c.meanCapacity = instance
 	for _, p := range c.pools {
 		p.load = load{}
 	}
 	for _, w := range c.workers {
 		p := c.pool(w.Pool)
-		used := job.Need{MilliCPU: w.Room.MilliCPU - w.room.Free.MilliCPU, MemoryMB: w.Room.MemoryMB - w.room.Free.MemoryMB}
+		used := job.Need{MilliCPU: w.Capacity.MilliCPU - w.room.Free.MilliCPU, MemoryMB: w.Capacity.MemoryMB - w.room.Free.MemoryMB}
 		var lasting job.Need
 		if w.room.Serving+w.room.Filling > 0 {
 			lasting = longRunningNeed(w)
 		}
-		p.load.lasting += share(lasting, instance)
+		p.load.lasting += instanceShare(lasting, instance)
 		used.MilliCPU -= lasting.MilliCPU
 		used.MemoryMB -= lasting.MemoryMB
-		p.load.running += share(used, instance)
+		p.load.running += instanceShare(used, instance)
 	}
 	for _, p := range c.pools {
 		c.countWaiting(p, instance)
@@ -134,14 +134,14 @@
 func (c *session) countWaiting(p *poolRow, instance job.Need) {
 	blocked := c.hasUnansweredWorkers(p.name)
 	for _, g := range p.open {
-		if blocked && c.restored[g.Job.Spec.ID] {
+		if blocked && c.inheritedJobs[g.Job.Spec.ID] {
 			continue // its tasks can't start yet, so that instances for them would be idle
 		}
-		if g.Capped || g.Beyond {
+		if g.Capped || g.OverRate {
 			continue // more instances don't help a capped group, and a group over its rate limit is entitled to none
 		}
 		step := &g.Job.Spec.Steps[g.Step]
-		each := share(place.Charge(step), instance)
+		each := instanceShare(place.Charge(step), instance)
 		n := 0
 		for _, t := range g.Tasks {
 			switch {
@@ -157,7 +157,7 @@
 			continue
 		}
 		p.load.waitingCapacity += float64(n) * each
-		p.load.waitingWork += float64(n) * each * c.runTime(step, g.Job.Spec.Queue).Seconds()
+		p.load.waitingWork += float64(n) * each * c.estimateRunTime(step, g.Job.Spec.Queue).Seconds()
 	}
 }
 
@@ -166,18 +166,18 @@
 // It is the mean over rateWindow, or the mean over a shorter period if that is significantly higher. Job sizes vary, so a few large jobs that arrive
 // together are weak evidence of a higher rate.
 func (p *poolRow) rate(now time.Time) float64 {
-	for len(p.handed) > 0 && now.Sub(p.handed[0].at) > rateWindow {
-		p.handed = p.handed[1:]
+	for len(p.recentWork) > 0 && now.Sub(p.recentWork[0].at) > rateWindow {
+		p.recentWork = p.recentWork[1:]
 	}
 	sum, squares, highest := 0.0, 0.0, 0.0
-	for i := len(p.handed) - 1; i >= 0; i-- {
-		w := p.handed[i].work
+	for i := len(p.recentWork) - 1; i >= 0; i-- {
+		w := p.recentWork[i].work
 		sum += w
 		squares += w * w
 		if sum == 0 {
 			continue
 		}
-		span := max(now.Sub(p.handed[i].at), minRateWindow)
+		span := max(now.Sub(p.recentWork[i].at), minRateWindow)
 		relativeError := math.Sqrt(squares) / sum // relative standard error of the sum
 		highest = max(highest, sum/span.Seconds()*(1-relativeError))
 	}
@@ -193,16 +193,16 @@
 	l := &p.load
 	horizon := (c.Bounds().Move + moveOverhead).Seconds()
 	rate := p.rate(now)
-	expectedWork := l.running*p.meanRun()*meanRemainingShare + l.waitingWork + rate*horizon
+	expectedWork := l.running*p.expectedRunSeconds()*meanRemainingShare + l.waitingWork + rate*horizon
 	remaining := expectedWork - max(l.availableSeconds-l.lasting*horizon, 0)
-	usableInstances := l.running + l.waitingCapacity + rate*max(1, horizon/p.meanRun())
+	usableInstances := l.running + l.waitingCapacity + rate*max(1, horizon/p.expectedRunSeconds())
 	return l.lasting + l.trialInstances() + min(rate+max(remaining, 0)/backlogClearTime.Seconds(), usableInstances)
 }
 
 // trialInstances returns the number of instances needed to try the suspects: one for each trial, and the workers beside it on which no other suspect
 // may be tried at the same time. The suspects' own work is negligible, so a pool sized by their work alone would try them one by one.
 func (l *load) trialInstances() float64 {
-	trials := float64(l.suspects) * trialLeast.Seconds() / suspectTrialTime.Seconds()
+	trials := float64(l.suspects) * trialMin.Seconds() / suspectTrialTime.Seconds()
 	return min(trials, float64(l.suspects)) / trialShare
 }
 
@@ -224,23 +224,23 @@
 func (c *session) setTargets(row *upkeep.Pool, now time.Time) {
 	p := c.pool(row.Name)
 	instances := c.demand(p, now)
-	c.turns.See(p.name, upkeep.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
-	p.needs = append(p.needs, need{at: now, instances: max(instances, p.load.lasting+p.load.running)})
-	for len(p.needs) > 0 && now.Sub(p.needs[0].at) > parkAfter {
-		p.needs = p.needs[1:]
+	c.turns.Observe(p.name, upkeep.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
+	p.recentNeeds = append(p.recentNeeds, needSample{at: now, instances: max(instances, p.load.lasting+p.load.running)})
+	for len(p.recentNeeds) > 0 && now.Sub(p.recentNeeds[0].at) > parkAfter {
+		p.recentNeeds = p.recentNeeds[1:]
 	}
 	recent, peak := 0.0, 0.0
-	for _, n := range p.needs {
+	for _, n := range p.recentNeeds {
 		peak = max(peak, n.instances)
 		if now.Sub(n.at) <= recentNeedWindow {
 			recent = max(recent, n.instances)
 		}
 	}
 	row.Want = instances*(1+spareShare) + spareInstances
-	row.Keep = recent*(1+spareShare) + spareInstances
-	row.Idle = peak*(1+spareShare) + spareInstances
-	if c.turns.Fresh(p.name) && now.Sub(c.began) < unknownLoadGrace {
-		row.Idle = float64(row.Have)
+	row.Min = recent*(1+spareShare) + spareInstances
+	row.LongTermNeed = peak*(1+spareShare) + spareInstances
+	if c.turns.DemandUnknown(p.name) && now.Sub(c.startedAt) < unknownLoadGrace {
+		row.LongTermNeed = float64(row.Have)
 	}
 }
 
@@ -257,9 +257,9 @@
 		if row.Headroom {
 			continue
 		}
-		need, used, known := c.turns.Whole(name, now)
+		need, used, known := c.turns.FullDemand(name, now)
 		if need == 0 && !known {
-			if !c.turns.Loaded(name) {
+			if !c.turns.Active(name) {
 				return
 			}
 			needed += max(float64(row.Have), row.Want) // no pool has completed a busy period yet, so the pool keeps what it has
@@ -277,10 +277,10 @@
 	}
 	for name, n := range keep {
 		row := rows[name]
-		if c.turns.Fresh(name) {
-			row.Idle = 0 // replaces the default of keeping all its instances
+		if c.turns.DemandUnknown(name) {
+			row.LongTermNeed = 0 // replaces the default of keeping all its instances
 		}
-		row.Idle = max(row.Idle, n)
+		row.LongTermNeed = max(row.LongTermNeed, n)
 	}
 }
 
@@ -288,17 +288,17 @@
 func (c *session) setExpected(rows map[string]*upkeep.Pool, now time.Time) {
 	for _, e := range c.turns.Next(c.Bounds().Move+2*moveOverhead, now) {
 		if row := rows[e.Pool]; row != nil {
-			row.Soon = c.pool(e.Pool).load.lasting + preparedShare*e.Need
+			row.SoonNeed = c.pool(e.Pool).load.lasting + preparedShare*e.Need
 		}
 	}
 }
 
-// meanRunSeconds returns the mean run time of the pool's tasks, in seconds.
-func (p *poolRow) meanRun() float64 {
-	if p.ran == 0 {
+// expectedRunSeconds returns the mean run time of the pool's tasks, in seconds.
+func (p *poolRow) expectedRunSeconds() float64 {
+	if p.meanRunSeconds == 0 {
 		return defaultRunSeconds
 	}
-	return p.ran
+	return p.meanRunSeconds
 }
 
 // stuckAfter is how long tasks of a step wait before the pool asks for more of the instances that may run them.
@@ -321,7 +321,7 @@
 				lacks[l]--
 			}
 		}
-		row.Lacks = lacks
+		row.Missing = lacks
 	}
 }
 
@@ -331,7 +331,7 @@
 	blocked := c.hasUnansweredWorkers(p.name)
 	for _, g := range p.open {
 		step := &g.Job.Spec.Steps[g.Step]
-		if (step.Label == "" && step.PerWorker == 0) || now.Sub(g.Opened) < stuckAfter || g.Capped || g.Beyond || (blocked && c.restored[g.Job.Spec.ID]) {
+		if (step.Label == "" && step.PerWorker == 0) || now.Sub(g.ReadySince) < stuckAfter || g.Capped || g.OverRate || (blocked && c.inheritedJobs[g.Job.Spec.ID]) {
 			continue
 		}
 		c.countPlacedTasks(g, step)
@@ -344,7 +344,7 @@
 		if unplaced <= 0 {
 			continue
 		}
-		lacks[step.Label] = max(lacks[step.Label], g.Instances(unplaced, c.whole))
+		lacks[step.Label] = max(lacks[step.Label], g.Instances(unplaced, c.meanCapacity))
 	}
 	c.countStranded(p, lacks, now)
 	return lacks
@@ -354,7 +354,7 @@
 // long-running task that fits on no other worker.
 func (c *session) countStranded(p *poolRow, lacks map[string]int, now time.Time) {
 	for _, w := range c.workers {
-		if w.Pool != p.name || !(w.out || w.drained) || w.room.Serving+w.room.Filling == 0 {
+		if w.Pool != p.name || !(w.beingEmptied || w.drained) || w.room.Serving+w.room.Filling == 0 {
 			continue
 		}
 		for t := range w.runs {
--- a/pool/demand_test.go
+++ b/pool/demand_test.go
@@ -17,15 +17,15 @@
 
 func TestRate(t *testing.T) {
 	now := time.Unix(1000, 0)
-	every := func(pause time.Duration, n int, work float64) (jobs []handed) {
+	every := func(pause time.Duration, n int, work float64) (jobs []submission) {
 		for i := range n {
-			jobs = append(jobs, handed{at: now.Add(-time.Duration(n-1-i) * pause), work: work})
+			jobs = append(jobs, submission{at: now.Add(-time.Duration(n-1-i) * pause), work: work})
 		}
 		return jobs
 	}
 	for _, test := range [...]struct {
 		name     string
-		jobs     []handed
+		jobs     []submission
 		from, to float64
 	}{
 		{"nothing", nil, 0, 0},
@@ -33,10 +33,10 @@
 		{"two at once may be chance", every(0, 2, 5), 10, 12},
 		{"many small ones in a moment are a rush", every(10*time.Millisecond, 20, 0.5), 25, 40},
 		{"what goes on is taken as it is", every(50*time.Millisecond, 20, 0.5), 9, 12},
-		{"what is long ago counts no more", []handed{{at: now.Add(-2 * time.Second), work: 100}}, 0, 0},
+		{"what is long ago counts no more", []submission{{at: now.Add(-2 * time.Second), work: 100}}, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := poolRow{handed: test.jobs}
+			p := poolRow{recentWork: test.jobs}
 			got := p.rate(now)
 			quicktest.Assert(t, got >= test.from && got <= test.to, quicktest.IsTrue, quicktest.Commentf("rate %.1f", got))
 		})
@@ -66,13 +66,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := newBench(c, nil)
+			b := newFixture(c, nil)
 			b.SetBounds(Bounds{Move: 1500 * time.Millisecond})
 			now := time.Now()
 			p := b.pool("p")
 			p.load = test.load
 			if test.jobs > 0 {
-				p.handed = []handed{{at: now, work: test.jobs}}
+				p.recentWork = []submission{{at: now, work: test.jobs}}
 			}
 			got := b.demand(p, now)
 			c.Assert(got >= test.from-1e-9 && got <= test.to+1e-9, quicktest.IsTrue, quicktest.Commentf("demand %.2f", got))
@@ -82,13 +82,13 @@
 
 func TestAnInstanceOnItsWayIsAbleForThePartThatIsLeft(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil)
+	b := newFixture(c, nil)
 	b.SetBounds(Bounds{Move: 1500 * time.Millisecond})
 	now := time.Now()
 	c.Assert(b.availableSeconds("there", now), quicktest.Equals, 1.65)
-	b.moves["emptied"] = &moveStep{since: now}
+	b.moves["emptied"] = &pendingMove{since: now}
 	c.Assert(b.availableSeconds("emptied", now), quicktest.Equals, 0.0)
-	b.moves["moved"] = &moveStep{moved: true, since: now.Add(-time.Second)}
+	b.moves["moved"] = &pendingMove{moved: true, since: now.Add(-time.Second)}
 	c.Assert(b.availableSeconds("moved", now), quicktest.Equals, 1.0)
 }
 
@@ -96,16 +96,16 @@
 // missing instance is requested, and the task is stopped once another worker fits.
 func TestWhatLastsWaitsForAPlaceBeforeAnUpkeep(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(1)
+	j := jobWithTasks(1)
 	j.Spec.Steps[0] = job.Step{Count: 1, Need: job.Need{MilliCPU: 1000}, Lasting: true, MayMiss: 1, Label: "red"}
-	b := newBench(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
-	b.aloneFrom = time.Now().Add(-time.Minute) // the stops that an earlier leader ordered are complete
+	b := newFixture(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
+	b.soleLeaderFrom = time.Now().Add(-time.Minute) // the stops that an earlier leader ordered are complete
 	b.workers["w1"].Labels = []string{"red"}
 	for _, life := range []string{"w1", "w2"} {
-		b.reports(life, 10, nil)
+		b.report(life, 10, nil)
 	}
-	c.Assert(b.ordered(), quicktest.Equals, 1)
-	b.reports("w1", 20, []work.Row{{Task: taskName, Run: b.task(0).Run, Percent: fullPercent}})
+	c.Assert(b.placeAndCount(), quicktest.Equals, 1)
+	b.report("w1", 20, []work.RunStatus{{Task: taskName, Run: b.task(0).Run, Percent: fullPercent}})
 	now := time.Now()
 	s := &maintenanceStep{life: "w1", since: now}
 	c.Assert(b.tryEmpty("m-w1", s, now), quicktest.IsFalse)
@@ -132,13 +132,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			j := one(1)
+			j := jobWithTasks(1)
 			test.step.Need = job.Need{MilliCPU: 1000}
 			j.Spec.Steps = []job.Step{test.step}
-			b := newBench(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
+			b := newFixture(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
 			b.workers["w1"].Labels = []string{"red"}
 			for _, life := range []string{"w1", "w2"} {
-				b.reports(life, 10, nil)
+				b.report(life, 10, nil)
 			}
 			b.countLoads()
 			c.Assert(fmt.Sprint(b.shortages(b.pool("p"), time.Now())), quicktest.Equals, "map[]") // no shortage before stuckAfter
@@ -168,19 +168,19 @@
 		{"no turn is over", 1000, 0, 5, 5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(quicktest.New(t), nil)
+			b := newFixture(quicktest.New(t), nil)
 			rows := make(map[string]*upkeep.Pool)
-			b.turns.Pools = make(map[string]*upkeep.Turn)
+			b.turns.Pools = make(map[string]*upkeep.Burst)
 			for i := range 3 {
 				name := fmt.Sprint("p", i)
-				rows[name] = &upkeep.Pool{Name: name, Have: test.have, Idle: test.idle}
-				b.turns.Pools[name] = new(upkeep.Turn)
+				rows[name] = &upkeep.Pool{Name: name, Have: test.have, LongTermNeed: test.idle}
+				b.turns.Pools[name] = new(upkeep.Burst)
 				if i < test.over {
-					*b.turns.Pools[name] = upkeep.Turn{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
+					*b.turns.Pools[name] = upkeep.Burst{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
 				}
 			}
 			b.retainForBusyPeriods(rows, time.Now())
-			b.c.Assert(math.Ceil(rows["p2"].Idle), quicktest.Equals, test.want)
+			b.c.Assert(math.Ceil(rows["p2"].LongTermNeed), quicktest.Equals, test.want)
 		})
 	}
 }
--- a/pool/disruption.go
+++ b/pool/disruption.go
@@ -17,8 +17,8 @@
 //
 // Another task counts as serving only by a report that is newer than all planned ends that an earlier leader may have
 // ordered, because a run is listed as running until it has stopped.
-func (c *session) mayTakeAway(t *job.Task, now time.Time) bool {
-	now = c.exact(now)
+func (c *session) canDisrupt(t *job.Task, now time.Time) bool {
+	now = c.laterOf(now)
 	after := c.earlierStopsDone()
 	if now.Before(after) || !c.confirmed(now) {
 		return false
@@ -37,14 +37,14 @@
 // carried out. It ordered them only while the store confirmed its lead.
 func (c *session) earlierStopsDone() time.Time {
 	if c.term.Number == 1 {
-		return c.aloneFrom
+		return c.soleLeaderFrom
 	}
-	return c.aloneFrom.Add(c.Bounds().Stop + stopTransit)
+	return c.soleLeaderFrom.Add(c.Bounds().Stop + stopTransit)
 }
 
 // isServing reports whether a lasting task is running according to its worker's latest report, which must be newer
 // than the time after.
 func (c *session) isServing(t *job.Task, after, now time.Time) bool {
 	w := c.workers[t.Worker]
-	return t.AtWork && !t.Stopping && w != nil && w.lost == "" && w.silentSince.IsZero() && now.Sub(w.told) < toldWithin && !w.told.Before(after)
+	return t.AtWork && !t.Stopping && w != nil && w.lostReason == "" && w.silentSince.IsZero() && now.Sub(w.reportedAt) < reportMaxAge && !w.reportedAt.Before(after)
 }
--- a/pool/disruption_test.go
+++ b/pool/disruption_test.go
@@ -16,22 +16,22 @@
 // earlier leader has told to stop is listed as running until it has stopped.
 func TestWhatAnEarlierLeaderToldToStopCountsAsAway(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(2)
+	j := jobWithTasks(2)
 	j.Spec.Steps[0].Lasting, j.Spec.Steps[0].MayMiss = true, 1
 	j = job.New(j.Spec, time.Now())
 	for i, life := range []string{"w1", "w2"} {
 		j.Tasks[i].Phase, j.Tasks[i].Run, j.Tasks[i].Worker = job.Active, 5, life
 	}
-	b := newBench(c, []*job.Job{j}, "w1", "w2")
+	b := newFixture(c, []*job.Job{j}, "w1", "w2")
 	for i, life := range []string{"w1", "w2"} {
-		b.reports(life, 10, []work.Row{{Task: b.task(i).Name(), Run: 5, Percent: fullPercent}})
+		b.report(life, 10, []work.RunStatus{{Task: b.task(i).Name(), Run: 5, Percent: fullPercent}})
 	}
 	now := time.Now()
-	c.Assert(b.mayTakeAway(b.task(0), now), quicktest.IsFalse, quicktest.Commentf("a stop may still be in progress"))
-	stopsDone := b.aloneFrom.Add(b.Bounds().Stop + stopTransit)
-	c.Assert(b.mayTakeAway(b.task(0), stopsDone.Add(time.Millisecond)), quicktest.IsFalse, quicktest.Commentf("the reports are too old"))
-	b.workers["w2"].told = stopsDone
-	c.Assert(b.mayTakeAway(b.task(0), stopsDone.Add(time.Millisecond)), quicktest.IsTrue)
+	c.Assert(b.canDisrupt(b.task(0), now), quicktest.IsFalse, quicktest.Commentf("a stop may still be in progress"))
+	stopsDone := b.soleLeaderFrom.Add(b.Bounds().Stop + stopTransit)
+	c.Assert(b.canDisrupt(b.task(0), stopsDone.Add(time.Millisecond)), quicktest.IsFalse, quicktest.Commentf("the reports are too old"))
+	b.workers["w2"].reportedAt = stopsDone
+	c.Assert(b.canDisrupt(b.task(0), stopsDone.Add(time.Millisecond)), quicktest.IsTrue)
 	b.task(1).Stopping = true
-	c.Assert(b.mayTakeAway(b.task(0), stopsDone.Add(time.Millisecond)), quicktest.IsFalse)
+	c.Assert(b.canDisrupt(b.task(0), stopsDone.Add(time.Millisecond)), quicktest.IsFalse)
 }
--- a/pool/drain.go
+++ b/pool/drain.go
@@ -60,7 +60,7 @@
 	for _, w := range c.workers {
 		w.drained = c.drains[w.DataCentre] != nil
 	}
-	c.dirtyAll()
+	c.markAllDirty()
 }
 
 // drainRemainder counts what is left in a drained data centre.
@@ -88,7 +88,7 @@
 
 // evacuateDrained moves long-running tasks out of the drained data centres, as fast as their steps may miss tasks and other workers have capacity for
 // them. All other tasks are left to end. It logs the remainder when it changes.
-func (c *session) emptyDrained(now time.Time) {
+func (c *session) evacuateDrained(now time.Time) {
 	if len(c.drains) == 0 {
 		return
 	}
@@ -119,7 +119,7 @@
 func (c *session) evacuateTask(w *worker, t *job.Task, l *drainRemainder, now time.Time) {
 	switch {
 	case t.Stopping || !w.silentSince.IsZero():
-	case !c.mayTakeAway(t, now):
+	case !c.canDisrupt(t, now):
 		l.held[heldByOthersAway]++
 	case !c.fitsElsewhere(t, now):
 		l.held[heldByNoPlace]++
--- a/pool/drain_test.go
+++ b/pool/drain_test.go
@@ -18,25 +18,25 @@
 )
 
 // newDrainBench returns a leader whose workers are in the data centre named by their first letter.
-func newDrainBench(c *quicktest.C, jobs []*job.Job, lives ...string) *bench {
-	b := newBench(c, jobs, lives...)
+func newDrainBench(c *quicktest.C, jobs []*job.Job, lives ...string) *fixture {
+	b := newFixture(c, jobs, lives...)
 	b.ParseWorker = func(life string, _ []byte) (work.Worker, error) {
-		return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", DataCentre: life[:1], Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", DataCentre: life[:1], Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 	for _, w := range b.workers {
 		w.DataCentre = w.Life[:1]
 		b.machines[w.Machine] = Machine{Name: w.Machine, Pool: "p", ID: w.Life, DataCentre: w.DataCentre}
 	}
 	for _, life := range lives {
-		b.reports(life, 10, nil)
+		b.report(life, 10, nil)
 	}
 	return b
 }
 
 // startsIn returns the number of planned starts in each data centre.
-func (b *bench) startsIn() map[string]int {
+func (b *fixture) startsIn() map[string]int {
 	in := make(map[string]int)
-	for _, p := range b.planned {
+	for _, p := range b.plannedStarts {
 		in[p.worker.DataCentre]++
 	}
 	return in
@@ -55,9 +55,9 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := newDrainBench(c, []*job.Job{one(6)}, "a1", "b1")
+			b := newDrainBench(c, []*job.Job{jobWithTasks(6)}, "a1", "b1")
 			drainsChanged{x.drained}.apply(b.session)
-			b.ordered()
+			b.placeAndCount()
 			c.Assert(len(b.startsIn()), quicktest.Equals, len(x.want))
 			if len(x.want) == 1 {
 				c.Assert(b.startsIn(), quicktest.DeepEquals, x.want)
@@ -71,19 +71,19 @@
 func TestAStartThatWasPlannedBeforeADrainDoesNotLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newDrainBench(c, []*job.Job{one(1)}, "a1")
+		b := newDrainBench(c, []*job.Job{jobWithTasks(1)}, "a1")
 		started := 0
 		b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 			started++
 			return work.Answer{Clock: 20}, nil
 		}
-		c.Assert(b.ordered(), quicktest.Equals, 1)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 		drainsChanged{[]string{"a"}}.apply(b.session)
-		b.keeps()
+		b.commitAll()
 		c.Assert(started, quicktest.Equals, 0)
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 		drainsChanged{nil}.apply(b.session)
-		c.Assert(b.ordered(), quicktest.Equals, 1)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 	})
 }
 
@@ -91,9 +91,9 @@
 // drain before its first start.
 func TestADrainIsOfTheDataCentreAndOutlivesItsLeader(t *testing.T) {
 	c := quicktest.New(t)
-	b := newDrainBench(c, []*job.Job{one(1)}, "b1")
+	b := newDrainBench(c, []*job.Job{jobWithTasks(1)}, "b1")
 	drainsChanged{[]string{"a"}}.apply(b.session)
-	c.Assert(b.listWorker("a9", []byte{1}).drained, quicktest.IsTrue)
+	c.Assert(b.applyWorkerRecord("a9", []byte{1}).drained, quicktest.IsTrue)
 	b.Scheduler.SetDrains([]string{"b"})
 	next := newSession(b.Scheduler, b.term)
 	c.Assert(next.drains["b"], quicktest.IsNotNil)
@@ -107,20 +107,20 @@
 		j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 4, Lasting: true, MayMiss: 1, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
 		b := newDrainBench(c, []*job.Job{j}, "a1", "b1")
 		b.term.Number = 1
-		b.aloneFrom = time.Now()
+		b.soleLeaderFrom = time.Now()
 		b.Machines.Move = func(context.Context, string, string, int64) error { return nil }
 		time.Sleep(time.Minute)
 		b.workers["b1"].room.Free.MilliCPU = 3000
-		var rows []work.Row
+		var rows []work.RunStatus
 		for i := range 4 {
-			rows = append(rows, work.Row{Task: fmt.Sprintf("00000000000000a1.0.0.%d", i), Run: int64(i + 1), Percent: 100})
+			rows = append(rows, work.RunStatus{Task: fmt.Sprintf("00000000000000a1.0.0.%d", i), Run: int64(i + 1), Percent: 100})
 		}
 		for i := range 4 {
 			tt := b.task(i)
 			tt.Phase, tt.Run, tt.Worker, tt.AtWork = job.Active, int64(i+1), "a1", true
 			b.addRun(b.workers["a1"], tt, &run{number: int64(i + 1), sent: true, confirmed: 10})
 		}
-		b.reports("a1", 1000, rows)
+		b.report("a1", 1000, rows)
 		drainsChanged{[]string{"a"}}.apply(b.session)
 		stopping := func() int {
 			n := 0
@@ -131,9 +131,9 @@
 			}
 			return n
 		}
-		b.emptyDrained(time.Now())
+		b.evacuateDrained(time.Now())
 		c.Assert(stopping(), quicktest.Equals, 1, quicktest.Commentf("one may be missed"))
-		b.emptyDrained(time.Now())
+		b.evacuateDrained(time.Now())
 		c.Assert(stopping(), quicktest.Equals, 1)
 		last := ""
 		for _, e := range b.Events.Since(0) {
@@ -157,8 +157,8 @@
 		}
 		moved := make(chan string, 10)
 		b.Machines.Move = func(_ context.Context, machine, to string, _ int64) error { moved <- machine + " " + to; return nil }
-		b.machinesRead = time.Now()
-		b.pool("p").handed = []handed{{at: time.Now(), work: 3}}
+		b.machinesListedAt = time.Now()
+		b.pool("p").recentWork = []submission{{at: time.Now(), work: 3}}
 		drainsChanged{[]string{"a"}}.apply(b.session)
 		b.sizePools(time.Now())
 		synctest.Wait()
--- a/pool/encoding_test.go
+++ b/pool/encoding_test.go
@@ -14,10 +14,10 @@
 // What a leader keeps for the next one is read by leaders of other versions.
 func TestStoredFormsStay(t *testing.T) {
 	c := quicktest.New(t)
-	var lessons keptLessons
+	var lessons storedStats
 	golden.Fill(&lessons)
 	golden.Check(c, "lessons", lessons, job.Encode, job.Decode)
-	var wave keptWave
+	var wave storedWave
 	golden.Fill(&wave)
 	golden.Check(c, "wave", wave, job.Encode, job.Decode)
 	var life keptLife
@@ -29,6 +29,6 @@
 // The keys of what a leader keeps are read by leaders of other versions.
 func TestStoredKeysStay(t *testing.T) {
 	c := quicktest.New(t)
-	c.Check([]string{stateKey, lostKey, lateKey, waveKey, lifeKey, workersKey, instancesKey, lessonsKey, takenKey}, quicktest.DeepEquals,
+	c.Check([]string{stateKey, lostKey, lateKey, waveKey, lifeKey, workersKey, instancesKey, lessonsKey, idConflictKey}, quicktest.DeepEquals,
 		[]string{"s/", "l/", "o/", "wave/", "w/", "workers", "instances", "lessons", "t/"})
 }
--- a/pool/fence.go
+++ b/pool/fence.go
@@ -19,7 +19,7 @@
 //
 // After a leader that gave up the lead itself no fencing call is made, as for moves, so a call of such a leader that
 // is delayed by a partition is not fenced.
-func (c *session) mayLast(w *worker, now time.Time) bool {
+func (c *session) canStartLasting(w *worker, now time.Time) bool {
 	if c.term.Alone || c.term.Number == 1 || c.fenced[w.Machine] {
 		return true
 	}
@@ -29,16 +29,16 @@
 	if c.fencing[w.Machine] {
 		return false
 	}
-	if !c.desk.take(c.Machines.PerSecond, now) {
-		c.dirtyPool(w.Pool) // tried again in the next placement pass
+	if !c.machineCalls.tryAcquire(c.Machines.PerSecond, now) {
+		c.markPoolDirty(w.Pool) // tried again in the next placement pass
 		return false
 	}
 	c.fencing[w.Machine] = true
 	machine, pool := w.Machine, w.Pool
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
-		err := c.whileConfirmed(func() error { return c.Machines.Move(ctx, machine, pool, c.term.Fence) })
+		err := c.callIfConfirmed(func() error { return c.Machines.Move(ctx, machine, pool, c.term.Fence) })
 		c.post(machineFenced{machine: machine, pool: pool, err: err})
 	})
 	return false
@@ -51,14 +51,14 @@
 }
 
 func (m machineFenced) apply(c *session) {
-	c.desk.done()
+	c.machineCalls.release()
 	delete(c.fencing, m.machine)
-	c.dirtyPool(m.pool)
+	c.markPoolDirty(m.pool)
 	switch {
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
 	case errors.Is(m.err, ErrTooMany):
-		c.desk.rest(c.now())
+		c.machineCalls.pause(c.now())
 	default: // the instance is used even if it can't be fenced, so that lasting tasks are not kept down by this
 		c.fenced[m.machine] = true
 		if m.err != nil {
--- a/pool/fence_test.go
+++ b/pool/fence_test.go
@@ -24,7 +24,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		lasting := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Lasting: true, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
-		b := newBench(c, []*job.Job{lasting}, "w1")
+		b := newFixture(c, []*job.Job{lasting}, "w1")
 		b.term.Alone, b.term.Clean = false, false
 		type call struct {
 			Machine, Pool string
@@ -35,14 +35,14 @@
 			calls = append(calls, call{machine, pool, fence})
 			return nil
 		}
-		b.reports("w1", 100, nil)
-		c.Assert(b.ordered(), quicktest.Equals, 0)
+		b.report("w1", 100, nil)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 0)
 		synctest.Wait()
 		c.Assert(calls, quicktest.DeepEquals, []call{{"m-w1", "p", b.term.Fence}})
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
-		c.Assert(b.ordered(), quicktest.Equals, 1)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 		c.Assert(b.workers["w1"], quicktest.IsNotNil, quicktest.Commentf("the instance must stay in its pool"))
 	})
 }
--- a/pool/idle.go
+++ b/pool/idle.go
@@ -22,7 +22,7 @@
 )
 
 // idlePollPause returns the pause after each poll of an idle worker, such that polling all of them takes at most idleCPUShare of the processor.
-func idleRest(workers int, processor float64) time.Duration {
+func idlePollPause(workers int, processor float64) time.Duration {
 	if processor <= 0 {
 		return 0
 	}
@@ -30,7 +30,9 @@
 }
 
 // crowded reports whether connections to workers are scarce.
-func (c *session) crowded() bool { return c.Calls.Crowded != nil && c.Calls.Crowded() }
+func (c *session) crowded() bool {
+	return c.Calls.ConnectionsScarce != nil && c.Calls.ConnectionsScarce()
+}
 
 // pauseIdle delays the next poll of an idle worker if polling all such workers is too much for this entry, which may have too little processor time or too few
 // connections. In the latter case the worker's connection is closed. The pause ends early when the worker gets work, and when the store no longer confirms the
@@ -41,11 +43,11 @@
 	if crowded {
 		rest = max(rest, crowdedRest)
 	}
-	if rest <= 0 || w.held.Load() > 0 || c.unconfirmed(c.now()) {
+	if rest <= 0 || w.runCount.Load() > 0 || c.unconfirmed(c.now()) {
 		return
 	}
 	if crowded {
-		c.Calls.Rest(row)
+		c.Calls.CloseIdle(row)
 	}
 	t := time.NewTimer(rest)
 	defer t.Stop()
@@ -61,20 +63,20 @@
 func (c *session) unconfirmed(now time.Time) bool { return now.Sub(c.ConfirmedAt()) > unconfirmedAfter }
 
 // updateIdlePolling recomputes the pause between polls of idle workers, and ends running pauses while the store does not confirm the lead.
-func (c *session) watchIdle(now time.Time) {
-	c.idleRest.Store(int64(idleRest(len(c.workers), c.Processor)))
+func (c *session) updateIdlePolling(now time.Time) {
+	c.idleRest.Store(int64(idlePollPause(len(c.workers), c.Processor)))
 	c.alarm.set(c.unconfirmed(now))
 }
 
 // latch is a broadcast flag that goroutines can wait for. The zero value is not set.
-type alarm struct {
+type latch struct {
 	mu sync.Mutex
 	on bool
 	ch chan struct{}
 }
 
 // wait returns a channel that is closed while the latch is set.
-func (a *alarm) wait() <-chan struct{} {
+func (a *latch) wait() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.ch == nil {
@@ -83,7 +85,7 @@
 	return a.ch
 }
 
-func (a *alarm) set(on bool) {
+func (a *latch) set(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if on == a.on {
--- a/pool/inbox.go
+++ b/pool/inbox.go
@@ -29,7 +29,7 @@
 }
 
 // takeAll removes and returns all messages, in the order in which they were posted.
-func (b *inbox) take() []message {
+func (b *inbox) takeAll() []message {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	q := b.queue
--- a/pool/latency.go
+++ b/pool/latency.go
@@ -8,7 +8,7 @@
 )
 
 // schedLatency measures how long goroutines of this process wait for the processor. The zero value is ready for use.
-type latency struct {
+type schedLatency struct {
 	sample   [1]runtimemetrics.Sample
 	previous []uint64
 }
@@ -17,7 +17,7 @@
 const schedLatencyMetric = "/sched/latencies:seconds"
 
 // quantile returns the given quantile of the waits since the last call, or 0 if there were none.
-func (l *latency) since(q float64) time.Duration {
+func (l *schedLatency) quantile(q float64) time.Duration {
 	l.sample[0].Name = schedLatencyMetric
 	runtimemetrics.Read(l.sample[:])
 	if l.sample[0].Value.Kind() != runtimemetrics.KindFloat64Histogram {
--- a/pool/lateorder_test.go
+++ b/pool/lateorder_test.go
@@ -15,18 +15,18 @@
 // one token, the new life's answer did not fence the old life's orders. 15 of these 16 histories failed, and none once the token rose with each life.
 func TestAnOrderForTheLifeBeforeStartsNothing(t *testing.T) {
 	for seed := range uint64(16) {
-		_, wrong := playReborn(t, seed, func(h *history) {
-			h.settled = func() { h.forgiveUnlucky() }
-			h.longest = 3 * time.Second
-			h.load(time.Second, 60*time.Millisecond)
+		_, wrong := runHistoryReusingIDs(t, seed, func(h *history) {
+			h.beforeCheck = func() { h.excludeGivenUp() }
+			h.maxExtraTime = 3 * time.Second
+			h.submitLoad(time.Second, 60*time.Millisecond)
 			for range 4 {
 				h.setLate(0.5)
-				h.load(300*time.Millisecond, 30*time.Millisecond)
-				h.crashSome(4, time.Duration(50+50*(seed%6))*time.Millisecond)
+				h.submitLoad(300*time.Millisecond, 30*time.Millisecond)
+				h.crashBusy(4, time.Duration(50+50*(seed%6))*time.Millisecond)
 				h.setLate(0)
-				h.load(4*time.Second, 300*time.Millisecond)
+				h.submitLoad(4*time.Second, 300*time.Millisecond)
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range wrong[:min(len(wrong), 3)] {
 			t.Errorf("seed %d, one of %d: %s", seed, len(wrong), x)
@@ -38,19 +38,19 @@
 // the start out before it has answered any call. A life does not inherit the tokens and stops of the life before.
 func TestAnOrderThatTheLifeBeforeHasSettledStartsNothing(t *testing.T) {
 	for seed := range uint64(32) {
-		_, wrong := playReborn(t, seed, func(h *history) {
-			h.settled = func() { h.forgiveUnlucky() }
-			h.longest = 3 * time.Second
-			h.load(time.Second, 60*time.Millisecond)
+		_, wrong := runHistoryReusingIDs(t, seed, func(h *history) {
+			h.beforeCheck = func() { h.excludeGivenUp() }
+			h.maxExtraTime = 3 * time.Second
+			h.submitLoad(time.Second, 60*time.Millisecond)
 			for range 4 {
 				h.setLate(0.8)
-				h.load(300*time.Millisecond, 30*time.Millisecond)
+				h.submitLoad(300*time.Millisecond, 30*time.Millisecond)
 				h.setLate(0)
 				time.Sleep(1800 * time.Millisecond) // until the deadlines have passed
-				h.crashSome(6, 50*time.Millisecond)
-				h.load(4*time.Second, 300*time.Millisecond)
+				h.crashBusy(6, 50*time.Millisecond)
+				h.submitLoad(4*time.Second, 300*time.Millisecond)
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range wrong[:min(len(wrong), 3)] {
 			t.Errorf("seed %d, one of %d: %s", seed, len(wrong), x)
@@ -62,5 +62,5 @@
 func (h *history) setLate(share float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lateShare = share
+	h.lateOrderRate = share
 }
--- a/pool/lease.go
+++ b/pool/lease.go
@@ -20,10 +20,10 @@
 func (c *session) leaseOf(*worker) time.Duration { return c.Bounds().Lease }
 
 // earlierLeaseOf returns the longest lease that an earlier leader may have given on a worker.
-func (c *session) leasedBefore(*worker) time.Duration { return c.Bounds().Lease }
+func (c *session) earlierLeaseOf(*worker) time.Duration { return c.Bounds().Lease }
 
 // earlierLeasesOverOn reports whether all leases that earlier leaders may have given on a worker have expired.
-func (c *session) doubtOverOn(w *worker, now time.Time) bool {
-	stopped, known := c.stoppedBy()
-	return known && now.After(stopped.Add(work.Longest(c.leasedBefore(w))+doubtSlack))
+func (c *session) earlierLeasesOverOn(w *worker, now time.Time) bool {
+	stopped, known := c.earlierStoppedBy()
+	return known && now.After(stopped.Add(work.MaxLocal(c.earlierLeaseOf(w))+leaseSlack))
 }
--- a/pool/leave.go
+++ b/pool/leave.go
@@ -18,7 +18,7 @@
 )
 
 // markLeaving records that a worker has begun to leave or is no longer listed.
-func (c *session) leave(w *worker) {
+func (c *session) markLeaving(w *worker) {
 	if w.leftAt.IsZero() {
 		w.leftAt = c.now()
 	}
@@ -47,7 +47,7 @@
 	case t.Spec().Lasting && w.Leaving:
 		c.stopTask(w, t, "its worker leaves")
 	case t.Spec().Lasting:
-		if now.Sub(w.leftAt) > unlistedGrace && c.mayTakeAway(t, now) {
+		if now.Sub(w.leftAt) > unlistedGrace && c.canDisrupt(t, now) {
 			c.stopTask(w, t, "its worker is no longer listed")
 		}
 	case w.Leaving && t.Spec().Saves && w.Remaining > 0:
@@ -60,7 +60,7 @@
 // remainingTime estimates how long a task's run will go on, from its progress if known and otherwise from its
 // estimate.
 func remainingTime(t *job.Task, now time.Time) time.Duration {
-	ran := now.Sub(t.Since)
+	ran := now.Sub(t.RunSince)
 	if t.Percent > 0 {
 		return ran * time.Duration(fullPercent-t.Percent) / time.Duration(t.Percent)
 	}
--- a/pool/liferecords.go
+++ b/pool/liferecords.go
@@ -25,22 +25,22 @@
 
 // markLifeDirty marks a life that was added to the tables or removed from them, so that its record is written or
 // deleted.
-func (c *session) lifeChanged(life string) { c.livesDirty.Add(life, struct{}{}) }
+func (c *session) markLifeDirty(life string) { c.dirtyLives.Add(life, struct{}{}) }
 
 // appendLifeRecords appends the records of the changed lives, as far as the batch has room: new values, and deletions
 // of lives that have left.
-func (c *session) keepLives(done *commitEnded, records []feed.KeyedRecord) []feed.KeyedRecord {
-	if c.livesDirty.Empty() {
+func (c *session) appendLifeRecords(done *commitBatch, records []feed.KeyedRecord) []feed.KeyedRecord {
+	if c.dirtyLives.Empty() {
 		return records
 	}
-	if count, err := job.Encode(max(c.sure, c.instances(len(c.lives)))); err != nil {
+	if count, err := job.Encode(max(c.confirmedInstances, c.instanceCount(len(c.livesByMachine)))); err != nil {
 		c.emit(event.RecordRefused, event.Subject{Entry: c.Entry}, "number of instances can't be encoded: %v", err)
 	} else {
 		records = append(records, feed.KeyedRecord{Key: instancesKey, Value: count})
 	}
-	size := sizeOf(records)
-	for size < c.batchMost {
-		life, _, ok := c.livesDirty.Next()
+	size := recordsSize(records)
+	for size < c.maxBatchBytes {
+		life, _, ok := c.dirtyLives.Next()
 		if !ok {
 			break
 		}
@@ -54,7 +54,7 @@
 			done.lives = append(done.lives, life)
 		}
 	}
-	if c.legacyWorkersRecord && c.livesDirty.Empty() { // everything in it has its own record now
+	if c.legacyWorkersRecord && c.dirtyLives.Empty() { // everything in it has its own record now
 		records = append(records, feed.KeyedRecord{Key: workersKey})
 		c.legacyWorkersRecord = false
 	}
@@ -69,7 +69,7 @@
 	}
 	value, err := job.Encode(keptLife{Machine: w.Machine, Pool: w.Pool, Address: w.Address})
 	if err != nil {
-		c.emit(event.RecordRefused, event.Subject{Instance: life}, "worker record of machine=%s can't be encoded: %v", w.Machine, err)
+		c.emit(event.RecordRefused, event.Subject{Instance: life}, "worker record can't be encoded: %v", err)
 		return feed.KeyedRecord{}, false
 	}
 	return feed.KeyedRecord{Key: lifeKey + life, Value: value}, true
@@ -77,11 +77,11 @@
 
 // markLivesStored allows work on the lives whose records have been stored. A life that has left the tables meanwhile
 // is stored again if it comes back.
-func (c *session) keptLives(lives []string) {
+func (c *session) markLivesStored(lives []string) {
 	for _, life := range lives {
 		if w := c.workers[life]; w != nil && !c.aside.has(lifeKey+life) {
-			c.workersKept[life] = true
-			c.dirtyPool(w.Pool)
+			c.storedLives[life] = true
+			c.markPoolDirty(w.Pool)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 			w.listed = false
 			c.addWorker(w)
 		}
-		c.unheard[w.Life] = w
-		c.workersKept[w.Life] = w.Life == life
+		c.uncertainLives[w.Life] = w
+		c.storedLives[w.Life] = w.Life == life
 		if w.Life != life || c.legacyWorkersRecord {
-			c.lifeChanged(life)
-			c.lifeChanged(w.Life)
+			c.markLifeDirty(life)
+			c.markLifeDirty(w.Life)
 			continue
 		}
-		c.livesDirty.Drop(life)
+		c.dirtyLives.Drop(life)
 	}
 }
--- a/pool/lives.go
+++ b/pool/lives.go
@@ -33,7 +33,7 @@
 	case w.token != nil: // the row is re-indexed under another instance
 	case known:
 		w.token = token
-		c.raise(w)
+		c.raiseToken(w)
 	default:
 		w.token = new(atomic.Int64)
 		w.token.Store(c.term.Fence)
@@ -43,14 +43,14 @@
 
 // raiseToken raises the token of a row's ID. The row's life counts as answered once it has answered under the new
 // token.
-func (c *session) raise(w *worker) {
+func (c *session) raiseToken(w *worker) {
 	token, ok := c.term.Raised(w.token.Load())
 	if !ok {
 		c.Lost(c.term.Fence) // the next leader begins with a higher one
 		return
 	}
 	w.token.Store(token)
-	w.needs.Store(token)
+	w.requiredToken.Store(token)
 	w.wakeHold() // it counts as answered once it has answered under the token
 }
 
@@ -63,23 +63,23 @@
 }
 
 // livesWithID returns the rows of the lives with a worker ID.
-func (c *session) bearing(id string) []*worker { return c.livesByID[id] }
+func (c *session) livesWithID(id string) []*worker { return c.livesByID[id] }
 
 // endEarlierLives ends the earlier lives under a row's ID: the row's life has answered a call that was made when they
 // were already known.
-func (c *session) endLivesBefore(w *worker) {
-	for _, o := range slices.Clone(c.bearing(w.ID)) {
-		if o != w && o.heir == nil && o.since.Before(w.asked) {
+func (c *session) endEarlierLives(w *worker) {
+	for _, o := range slices.Clone(c.livesWithID(w.ID)) {
+		if o != w && o.successor == nil && o.listedSince.Before(w.askedAt) {
 			c.endReplacedLife(o, w)
 		}
 	}
 }
 
 // otherLifeAnswered handles an answer by a life other than the row's: the row's life has ended.
-func (c *session) strangerAnswered(w *worker, a work.Answer) {
+func (c *session) otherLifeAnswered(w *worker, a work.Answer) {
 	if a.Birth == 0 {
 		w.idRetired = true
-		c.lose(w, "its address has another life") // no life has its ID any more
+		c.endLife(w, "its address has another life") // no life has its ID any more
 		return
 	}
 	c.replaceLife(w, a.Birth)
@@ -95,7 +95,7 @@
 		row.Life, row.Birth = next.String(), birth
 		successor = newWorker(row, c.Clock, &c.ledger)
 		successor.listed = false
-		delete(c.over, successor.Life) // it answers, so it has not ended
+		delete(c.endedLives, successor.Life) // it answers, so it has not ended
 		c.addWorker(successor)
 		c.startHolds(successor)
 	}
@@ -106,19 +106,19 @@
 // the store confirms the lead, but raises the token only once: otherwise each answer of the successor would have been
 // requested under a token that is too low by then.
 func (c *session) endReplacedLife(w, successor *worker) {
-	if w.heir == successor {
+	if w.successor == successor {
 		return
 	}
-	c.counts.reborn.Inc(1)
-	c.emit(event.WorkerReborn, event.Subject{Instance: successor.Life}, "machine=%s before=%s runs=%d ends=%d acknowledged=%d", w.Machine, w.Life, len(w.runs), w.processed, w.acked.Load())
-	w.heir = successor
-	c.raise(successor) // the current life refuses what the previous one was told after the successor's row was created
-	c.lose(w, "it has begun anew as "+successor.Life)
+	c.counts.restartedWorkers.Inc(1)
+	c.emit(event.WorkerReborn, event.Subject{Instance: successor.Life}, "machine=%s before=%s runs=%d ends=%d acknowledged=%d", w.Machine, w.Life, len(w.runs), w.lastProcessedEnd, w.acked.Load())
+	w.successor = successor
+	c.raiseToken(successor) // the current life refuses what the previous one was told after the successor's row was created
+	c.endLife(w, "it has begun anew as "+successor.Life)
 }
 
 // successorOf returns the row of the life that now has the ID of a replaced life, or nil.
-func (c *session) heirOf(w *worker) *worker {
-	for h := w.heir; h != nil; h = h.heir {
+func (c *session) successorOf(w *worker) *worker {
+	for h := w.successor; h != nil; h = h.successor {
 		if c.workers[h.Life] == h {
 			return h
 		}
@@ -129,25 +129,25 @@
 // mayBeAtSuccessor reports whether a run that was ordered under this life may be at the next life with its ID: its
 // order may have been sent, and this life has never confirmed it or has no birth, so that confirmations can't be
 // attributed to one life.
-func (w *worker) unsettled(r *run) bool {
-	return r.mayRun() && (r.confirmed == 0 || w.Birth == 0)
+func (w *worker) mayBeAtSuccessor(r *run) bool {
+	return r.mayHaveBegun() && (r.confirmed == 0 || w.Birth == 0)
 }
 
 // mayStartLate reports whether a run's order may still be carried out by a restarted worker.
-func (w *worker) mayComeLate(t *job.Task, r *run, now time.Time) bool {
-	inFlight := w.unsettled(r) && !r.began.IsZero() && now.Sub(r.began) < lateMost
+func (w *worker) mayStartLate(t *job.Task, r *run, now time.Time) bool {
+	inFlight := w.mayBeAtSuccessor(r) && !r.orderedAt.IsZero() && now.Sub(r.orderedAt) < lateMax
 	return w.Birth != 0 && (inFlight || t.MayComeLate(now))
 }
 
 // carryOver moves a run to the row of the next life. The next report of that life settles it.
-func (c *session) handOn(successor *worker, t *job.Task, r *run) {
+func (c *session) carryOver(successor *worker, t *job.Task, r *run) {
 	t.Phase, t.Worker = job.Starting, successor.Life
 	t.Stopping, t.AtWork, t.Percent, t.Gauge = false, false, 0, 0
 	t.Job.Version++
-	c.dirty.Add(t.Job.Spec.ID, t.Job)
+	c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
 	c.addRun(successor, t, &run{
-		number: r.number, sent: true, earlier: true, handedOn: true, confirmedBefore: r.confirmedBefore || r.confirmed > 0,
-		began: r.began, sentAt: r.sentAt, pending: r.pending, ticket: r.ticket, pace: fullPercent,
+		number: r.number, sent: true, fromEarlierLeader: true, carriedOver: true, confirmedEarlier: r.confirmedEarlier || r.confirmed > 0,
+		orderedAt: r.orderedAt, sentAt: r.sentAt, pending: r.pending, ticket: r.ticket, pace: fullPercent,
 	})
 }
 
@@ -161,7 +161,7 @@
 		return w, false
 	}
 	l := work.ParseLife(name)
-	if rows := c.bearing(l.ID); len(rows) > 0 {
+	if rows := c.livesWithID(l.ID); len(rows) > 0 {
 		return rows[len(rows)-1], l.Birth != 0
 	}
 	return nil, true
--- a/pool/lives_test.go
+++ b/pool/lives_test.go
@@ -18,45 +18,45 @@
 
 // newBirthFixture returns a session whose list of workers contains births: the value of an entry is its birth as a
 // single byte.
-func bornBench(c *quicktest.C, j *job.Job) *bench {
-	b := newBench(c, []*job.Job{j})
+func newBirthFixture(c *quicktest.C, j *job.Job) *fixture {
+	b := newFixture(c, []*job.Job{j})
 	b.ParseWorker = func(id string, value []byte) (work.Worker, error) {
 		if value[0] == 255 {
 			return work.Worker{}, errors.New("invalid entry")
 		}
-		return work.Worker{Birth: work.Birth(value[0]), Machine: "m-" + id, Pool: "p", Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Birth: work.Birth(value[0]), Machine: "m-" + id, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 	return b
 }
 
-func (b *bench) lists(id string, birth byte) { b.listWorker(id, []byte{birth}) }
+func (b *fixture) list(id string, birth byte) { b.applyWorkerRecord(id, []byte{birth}) }
 
 // answerAsOtherLife applies an answer to a call to a life that was given by another life under the same ID.
-func (b *bench) stranger(life string, birth work.Birth) {
-	holdEnded{worker: b.workers[life], asked: time.Now(), report: work.Report{Answer: work.Answer{Refusal: work.OtherLife, Birth: birth}}}.apply(b.session)
+func (b *fixture) answerAsOtherLife(life string, birth work.Birth) {
+	holdResult{worker: b.workers[life], asked: time.Now(), report: work.Report{Answer: work.Answer{Refusal: work.OtherLife, Birth: birth}}}.apply(b.session)
 }
 
 func TestNothingOfALifeIsBelievedOfTheNextUnderItsID(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(3))
-	b.lists("w", 9)
-	b.reports("w@9", 60_000, []work.Row{{Task: taskName, Run: 5}, {Task: "00000000000000a1.0.0.1", Run: 6}}, work.End{N: 40, Task: "00000000000000a1.0.0.2", Run: 4, How: work.Failed})
+	b := newBirthFixture(c, jobWithTasks(3))
+	b.list("w", 9)
+	b.report("w@9", 60_000, []work.RunStatus{{Task: taskName, Run: 5}, {Task: "00000000000000a1.0.0.1", Run: 6}}, work.EndedRun{Seq: 40, Task: "00000000000000a1.0.0.2", Run: 4, Outcome: work.Failed})
 	b.workers["w@9"].ack(40)
-	b.stranger("w@9", 4) // an earlier birth, according to its clock
+	b.answerAsOtherLife("w@9", 4) // an earlier birth, according to its clock
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
 	next := b.workers["w@4"]
 	c.Assert(next.usable(time.Now()), quicktest.IsFalse, quicktest.Commentf("the life is not listed yet"))
 	c.Assert(next.acked.Load(), quicktest.Equals, int64(0))
-	c.Assert(next.processed, quicktest.Equals, int64(0))
+	c.Assert(next.lastProcessedEnd, quicktest.Equals, int64(0))
 	c.Assert(next.leasedUntil().IsZero(), quicktest.IsTrue)
 	for i := range 2 {
 		c.Assert(b.task(i).Phase, quicktest.Equals, job.Waiting, quicktest.Commentf("its runs ended with it"))
 		c.Assert(b.task(i).Lost, quicktest.HasLen, 1)
 	}
-	b.lists("w", 9) // a delayed entry
+	b.list("w", 9) // a delayed entry
 	c.Assert(b.workers, quicktest.HasLen, 1)
-	b.lists("w", 4)
-	b.reports("w@4", 3, []work.Row{{Task: taskName, Run: 7}}, work.End{N: 1, Task: "00000000000000a1.0.0.2", Run: 8, How: work.Succeeded})
+	b.list("w", 4)
+	b.report("w@4", 3, []work.RunStatus{{Task: taskName, Run: 7}}, work.EndedRun{Seq: 1, Task: "00000000000000a1.0.0.2", Run: 8, Outcome: work.Succeeded})
 	c.Assert(b.task(2).Phase, quicktest.Equals, job.Finished, quicktest.Commentf("this is the first end of this life"))
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 	c.Assert(next.usable(time.Now()), quicktest.IsTrue)
@@ -66,27 +66,27 @@
 // answers.
 func TestAListEndsNoLife(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(1))
-	b.lists("w", 9)
-	b.reports("w@9", 50, []work.Row{{Task: taskName, Run: 5}})
-	b.lists("w", 4)
+	b := newBirthFixture(c, jobWithTasks(1))
+	b.list("w", 9)
+	b.report("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
+	b.list("w", 4)
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@9")
-	b.lists("w", 9)
+	b.list("w", 9)
 	c.Assert(b.workers, quicktest.HasLen, 2)
-	b.stranger("w@4", 9) // an earlier life, whose entry was delayed
+	b.answerAsOtherLife("w@4", 9) // an earlier life, whose entry was delayed
 	c.Assert(b.workers, quicktest.HasLen, 1)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Active)
-	b.listWorker("w", nil)
+	b.applyWorkerRecord("w", nil)
 	c.Assert(b.workers["w@9"].listed, quicktest.IsFalse)
 }
 
 func TestTheFirstAnswerOfALifeEndsTheOneBeforeUnderItsID(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(1))
-	b.lists("w", 9)
-	b.reports("w@9", 50, []work.Row{{Task: taskName, Run: 5}})
-	b.lists("w", 4)
-	b.reports("w@4", 3, nil)
+	b := newBirthFixture(c, jobWithTasks(1))
+	b.list("w", 9)
+	b.report("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
+	b.list("w", 4)
+	b.report("w@4", 3, nil)
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 }
@@ -96,16 +96,16 @@
 func TestALifeThatAnswersBeforeItIsListedGetsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := bornBench(c, one(1))
-		b.lists("w", 9)
-		b.reports("w@9", 50, nil)
-		b.keeps()
-		b.stranger("w@9", 4)
-		b.lists("w", 4)
-		b.reports("w@4", 3, nil)
-		c.Assert(b.ordered(), quicktest.Equals, 0, quicktest.Commentf("the record of the life is not stored yet"))
-		b.keeps()
-		c.Assert(b.ordered(), quicktest.Equals, 1)
+		b := newBirthFixture(c, jobWithTasks(1))
+		b.list("w", 9)
+		b.report("w@9", 50, nil)
+		b.commitAll()
+		b.answerAsOtherLife("w@9", 4)
+		b.list("w", 4)
+		b.report("w@4", 3, nil)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("the record of the life is not stored yet"))
+		b.commitAll()
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 	})
 }
@@ -115,27 +115,27 @@
 func TestAnOrderWithoutAnAnswerIsLookedForAtTheNextLife(t *testing.T) {
 	for _, x := range [...]struct {
 		name    string
-		running []work.Row
-		ended   []work.End
+		running []work.RunStatus
+		ended   []work.EndedRun
 		phase   job.Phase
 		lost    int
 	}{
 		{"it is not there", nil, nil, job.Waiting, 1},
-		{"it is there", []work.Row{{Task: taskName, Run: 100}}, nil, job.Active, 0},
-		{"it is done there", nil, []work.End{{N: 1, Task: taskName, Run: 100, How: work.Succeeded}}, job.Finished, 1},
+		{"it is there", []work.RunStatus{{Task: taskName, Run: 100}}, nil, job.Active, 0},
+		{"it is done there", nil, []work.EndedRun{{Seq: 1, Task: taskName, Run: 100, Outcome: work.Succeeded}}, job.Finished, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := bornBench(c, one(1))
-			b.lists("w", 9)
-			b.lists("v", 9)
-			b.reports("w@9", 50, nil)
-			b.reports("v@9", 50, nil)
+			b := newBirthFixture(c, jobWithTasks(1))
+			b.list("w", 9)
+			b.list("v", 9)
+			b.report("w@9", 50, nil)
+			b.report("v@9", 50, nil)
 			b.runningOn([]time.Duration{100 * time.Millisecond}, "w@9")
-			b.stranger("w@9", 4)
+			b.answerAsOtherLife("w@9", 4)
 			c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
-			c.Assert(b.ordered(), quicktest.Equals, 0, quicktest.Commentf("the start may be at the next life"))
-			b.reports("w@4", 3, x.running, x.ended...)
+			c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("the start may be at the next life"))
+			b.report("w@4", 3, x.running, x.ended...)
 			c.Assert(b.task(0).Phase, quicktest.Equals, x.phase)
 			c.Assert(b.task(0).Lost, quicktest.HasLen, x.lost)
 		})
@@ -156,20 +156,20 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			j := one(1)
+			j := jobWithTasks(1)
 			j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, x.kept
-			b := bornBench(c, j)
-			state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Keep())}}
+			b := newBirthFixture(c, j)
+			state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored())}}
 			if x.known {
 				state.Records = append(state.Records, record(c, workersKey, []keptWorker{{Life: x.kept, Machine: "m-w", Pool: "p", Address: "a"}}))
 			}
-			intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
-			b.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
+			intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
+			b.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 			c.Assert(b.workers, quicktest.HasLen, 1)
 			c.Assert(b.task(0).Worker, quicktest.Equals, "w@9")
-			c.Assert(b.ordered(), quicktest.Equals, 0)
+			c.Assert(b.placeAndCount(), quicktest.Equals, 0)
 			c.Assert(b.task(0).Lost, quicktest.HasLen, x.lost)
-			b.reports("w@9", 3, nil)
+			b.report("w@9", 3, nil)
 			c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 		})
 	}
@@ -180,18 +180,18 @@
 // well.
 func TestALostRunThatWasHandedOnCountsOnceOverATakeover(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(1)
+	j := jobWithTasks(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Starting, 5, "w@9"
-	j.Lose(&j.Tasks[0], job.LostRun{Run: 5, Life: "w@4", Suspects: 2})
-	b := bornBench(c, j)
+	j.RecordLost(&j.Tasks[0], job.LostRun{Run: 5, Life: "w@4", Suspects: 2})
+	b := newBirthFixture(c, j)
 	state := feed.KeyedPage{Records: []feed.KeyedRecord{
-		record(c, stateKey+j.Spec.ID, j.Keep()), record(c, lostKey+j.Spec.ID, j.KeepLost()),
+		record(c, stateKey+j.Spec.ID, j.Stored()), record(c, lostKey+j.Spec.ID, j.StoredLost()),
 		record(c, workersKey, []keptWorker{{Life: "w@9", Machine: "m-w", Pool: "p", Address: "a"}}),
 	}}
-	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
-	b.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
+	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
+	b.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
-	b.stranger("w@9", 2)
+	b.answerAsOtherLife("w@9", 2)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@2")
 }
@@ -200,28 +200,28 @@
 // worker is no longer listed, and the life that answers must get the run.
 func TestALifeWithoutABirthIsNamedByWhoAnswers(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(1)
+	j := jobWithTasks(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, "w"
-	b := bornBench(c, j)
-	state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Keep()), record(c, workersKey, []keptWorker{{Life: "w", Machine: "m-w", Pool: "p", Address: "a"}})}}
-	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
-	b.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{})
-	b.stranger("w", 9)
+	b := newBirthFixture(c, j)
+	state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored()), record(c, workersKey, []keptWorker{{Life: "w", Machine: "m-w", Pool: "p", Address: "a"}})}}
+	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
+	b.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{})
+	b.answerAsOtherLife("w", 9)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
-	b.reports("w@9", 3, []work.Row{{Task: taskName, Run: 5}})
+	b.report("w@9", 3, []work.RunStatus{{Task: taskName, Run: 5}})
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Active)
 }
 
 func TestAnEntryThatLacksItsWorkersBirthIsAnotherWriters(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(1))
-	b.lists("w", 9)
-	b.reports("w@9", 50, nil)
-	b.lists("w", 0)
+	b := newBirthFixture(c, jobWithTasks(1))
+	b.list("w", 9)
+	b.report("w@9", 50, nil)
+	b.list("w", 0)
 	c.Assert(b.workers, quicktest.HasLen, 1)
 	c.Assert(b.workers["w@9"].usable(time.Now()), quicktest.IsFalse)
-	b.lists("w", 255)
-	b.lists("w", 9)
+	b.list("w", 255)
+	b.list("w", 9)
 	c.Assert(b.workers["w@9"].usable(time.Now()), quicktest.IsTrue)
 }
 
@@ -230,22 +230,22 @@
 func TestALifeThatEndsWithoutTheStoresWordWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := bornBench(c, one(1))
-		b.lists("w", 9)
-		b.reports("w@9", 50, []work.Row{{Task: taskName, Run: 5}})
+		b := newBirthFixture(c, jobWithTasks(1))
+		b.list("w", 9)
+		b.report("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
 		var confirmed atomic.Pointer[time.Time] // also read by the holds of the next life
 		confirm := func() { now := time.Now(); confirmed.Store(&now) }
 		confirm()
 		b.ConfirmedAt = func() time.Time { return *confirmed.Load() }
 		time.Sleep(5 * time.Second)
-		b.stranger("w@9", 4)
+		b.answerAsOtherLife("w@9", 4)
 		token := b.workers["w@4"].token.Load()
-		b.stranger("w@9", 4)
+		b.answerAsOtherLife("w@9", 4)
 		c.Assert(b.workers["w@4"].token.Load(), quicktest.Equals, token, quicktest.Commentf("the token rose again, so no answer of the next life would count"))
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Active, quicktest.Commentf("another leader may have learned of its end"))
 		c.Assert(b.workers["w@9"].usable(time.Now()), quicktest.IsFalse)
 		confirm()
-		b.watchLeases(time.Now())
+		b.checkLeases(time.Now())
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 	})
 }
@@ -255,17 +255,17 @@
 func TestALeaseThatIsOverDoesNotSettleAnOrderWithoutAnAnswer(t *testing.T) {
 	for _, listed := range [...]bool{true, false} {
 		c := quicktest.New(t)
-		b := bornBench(c, one(2))
-		b.lists("w", 9)
-		b.reports("w@9", 50, nil)
+		b := newBirthFixture(c, jobWithTasks(2))
+		b.list("w", 9)
+		b.report("w@9", 50, nil)
 		b.runningOn([]time.Duration{0, 0}, "w@9")
 		w := b.workers["w@9"]
 		w.listed = listed
-		b.confirm(w, b.task(0), w.runs[b.task(0)], 60)
-		b.endLease(w, time.Now())
+		b.confirmRun(w, b.task(0), w.runs[b.task(0)], 60)
+		b.expireLease(w, time.Now())
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 		c.Assert(b.task(1).Worker, quicktest.Equals, "w@9")
-		b.endLease(w, time.Now().Add(lateMost))
+		b.expireLease(w, time.Now().Add(lateMax))
 		c.Assert(b.task(1).Phase, quicktest.Equals, job.Waiting)
 	}
 }
@@ -274,21 +274,21 @@
 // life may arrive after the next life has answered a call that was sent before the token of the ID rose.
 func TestAnswersUnderALowerTokenDoNotCountForTheNextLife(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(1))
-	b.lists("w", 9)
-	b.reports("w@9", 50, nil)
+	b := newBirthFixture(c, jobWithTasks(1))
+	b.list("w", 9)
+	b.report("w@9", 50, nil)
 	b.runningOn([]time.Duration{100 * time.Millisecond}, "w@9")
 	before := b.workers["w@9"].token.Load()
-	b.lists("w", 4)
+	b.list("w", 4)
 	next := b.workers["w@4"]
 	c.Assert(next.token.Load() > before, quicktest.IsTrue)
 	asked := next.token.Load()
-	b.reports("w@4", 3, nil) // ends the previous life, whose order may have been sent just before
+	b.report("w@4", 3, nil) // ends the previous life, whose order may have been sent just before
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
 	c.Assert(next.usable(time.Now()), quicktest.IsFalse)
-	holdEnded{worker: next, token: asked, asked: time.Now()}.apply(b.session)
+	holdResult{worker: next, token: asked, asked: time.Now()}.apply(b.session)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Starting, quicktest.Commentf("the order may arrive after that answer"))
-	b.reports("w@4", 4, nil)
+	b.report("w@4", 4, nil)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 	c.Assert(next.usable(time.Now()), quicktest.IsTrue)
 	c.Assert(next.leasedUntil().IsZero(), quicktest.IsFalse, quicktest.Commentf("a late call to the previous life may have leased it"))
@@ -298,35 +298,35 @@
 // before this leader raised the token. A refusal under the newest token does mean another leader.
 func TestARaisedTokenIsNoOtherLeaders(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(1))
+	b := newBirthFixture(c, jobWithTasks(1))
 	lost := 0
 	b.Lost = func(int64) { lost++ }
-	b.lists("w", 9)
-	b.lists("w", 4)
+	b.list("w", 9)
+	b.list("w", 4)
 	w := b.workers["w@4"]
 	refused := work.Answer{Refusal: work.Fenced}
 	for range 2 {
 		token := w.token.Load() - 1
-		holdEnded{worker: w, token: token, report: work.Report{Answer: refused}}.apply(b.session)
-		stopEnded{worker: w, token: token, answer: refused}.apply(b.session)
+		holdResult{worker: w, token: token, report: work.Report{Answer: refused}}.apply(b.session)
+		stopResult{worker: w, token: token, answer: refused}.apply(b.session)
 		paceEnded{worker: w, token: token, answer: refused}.apply(b.session)
 	}
 	c.Assert(lost, quicktest.Equals, 0)
-	holdEnded{worker: w, token: w.token.Load(), report: work.Report{Answer: refused}}.apply(b.session)
+	holdResult{worker: w, token: w.token.Load(), report: work.Report{Answer: refused}}.apply(b.session)
 	c.Assert(lost, quicktest.Equals, 1)
 }
 
 func TestTokensAreRaisedWithinTheTermAlone(t *testing.T) {
 	c := quicktest.New(t)
-	b := bornBench(c, one(1))
+	b := newBirthFixture(c, jobWithTasks(1))
 	lost := 0
 	b.Lost = func(int64) { lost++ }
-	b.lists("w", 9)
+	b.list("w", 9)
 	w := b.workers["w@9"]
 	w.token.Store(3<<16 - 2)
-	b.raise(w)
+	b.raiseToken(w)
 	c.Assert(lost, quicktest.Equals, 0)
-	b.raise(w)
+	b.raiseToken(w)
 	c.Assert(lost, quicktest.Equals, 1)
 	c.Assert(w.token.Load(), quicktest.Equals, int64(3<<16-1))
 }
--- a/pool/load.go
+++ b/pool/load.go
@@ -31,16 +31,16 @@
 	instancesKey = "instances"
 	lessonsKey   = "lessons"
 	// idConflictKey is the prefix for jobs that can't run because another organisation's job has the same ID.
-	takenKey = "t/"
+	idConflictKey = "t/"
 )
 
 // writerName identifies the scheduler to the store.
-const writer = "schedule"
+const writerName = "schedule"
 
 // Timeouts and pauses of the readers of topics.
 const (
-	storeTimeout = time.Second
-	storePause   = 200 * time.Millisecond
+	storeTimeout    = time.Second
+	storeRetryPause = 200 * time.Millisecond
 	// loadTimeout limits the time for which a new leader reads one topic.
 	loadTimeout = 5 * time.Second
 	// loadLinkTime is for how long the answers that a new leader has requested may occupy its link; typicalTopicBytes
@@ -49,7 +49,7 @@
 	typicalTopicBytes = 64 << 10
 	intakeWait        = 700 * time.Millisecond
 	// workersPollInterval is the pause between reads of the list of workers, which is written to continuously.
-	workersEvery = 150 * time.Millisecond
+	workersPollInterval = 150 * time.Millisecond
 	// earlierCallsFor is for how long after the start of the next term an earlier leader's calls to the machine
 	// interface may go on: lead.ConfirmedFor, because such calls need a confirmation by the store, plus the duration
 	// of a call.
@@ -69,7 +69,7 @@
 			return err
 		}
 		c.emit(event.StoreUnreachable, event.Subject{Entry: c.Entry}, "loading the stored tables: %v", err)
-		sleep(ctx, storePause)
+		sleep(ctx, storeRetryPause)
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 func (c *session) tryLoad(ctx context.Context) error {
-	batch := feed.Batch{At: -1, Writer: feed.Writer{Name: writer, Epoch: c.term.Fence}}
+	batch := feed.Batch{At: -1, Writer: feed.Writer{Name: writerName, Epoch: c.term.Fence}}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if _, err := c.State.Append(call, batch); err != nil {
@@ -96,10 +96,10 @@
 	}
 	state, list, intakes := pages[0], pages[1], pages[2:]
 	for i := range intakes {
-		c.fresh[i] = asked
-		c.intakeEnd[i] = intakes[i].Next
+		c.intakeReadUntil[i] = asked
+		c.intakeOffsets[i] = intakes[i].Next
 	}
-	c.take(state, intakes, list)
+	c.fillTables(state, intakes, list)
 	return nil
 }
 
@@ -108,7 +108,7 @@
 //
 // A life without a stored record has certainly ended; restoreRuns adds the runs that were or may have been there to
 // ended.
-func (c *session) restoreRuns(j *job.Job, k job.Kept, ended map[string][]endedRun) {
+func (c *session) restoreRuns(j *job.Job, k job.Stored, ended map[string][]earlierLostRun) {
 	for _, r := range k.Runs {
 		if r.Ordinal < 0 || r.Ordinal >= len(j.Tasks) || j.Tasks[r.Ordinal].Phase != job.Waiting {
 			continue
@@ -116,13 +116,13 @@
 		t := &j.Tasks[r.Ordinal]
 		w, lifeEnded := c.restoredRow(r.Life)
 		if lifeEnded {
-			ended[r.Life] = append(ended[r.Life], endedRun{task: t, run: r.Run})
+			ended[r.Life] = append(ended[r.Life], earlierLostRun{task: t, run: r.Run})
 		}
 		if w == nil {
 			continue
 		}
-		t.Phase, t.Run, t.Worker, t.Since = job.Starting, r.Run, w.Life, c.now()
-		c.addRun(w, t, &run{number: r.Run, earlier: true, handedOn: lifeEnded, pace: fullPercent})
+		t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.Run, w.Life, c.now()
+		c.addRun(w, t, &run{number: r.Run, fromEarlierLeader: true, carriedOver: lifeEnded, pace: fullPercent})
 	}
 }
 
@@ -159,96 +159,96 @@
 }
 
 // fillTables builds the tables from the pages that were read.
-func (c *session) take(state feed.KeyedPage, intakes []feed.KeyedPage, list feed.KeyedPage) {
+func (c *session) fillTables(state feed.KeyedPage, intakes []feed.KeyedPage, list feed.KeyedPage) {
 	now := c.now()
 	clear(c.jobs)
-	states := make(map[string]job.Kept)
-	lost := make(map[string][]job.KeptLost)
-	late := make(map[string][]job.KeptLate)
+	states := make(map[string]job.Stored)
+	lost := make(map[string][]job.StoredLost)
+	late := make(map[string][]job.StoredLate)
 	earlier := make(map[string]keptLife)
 	for _, r := range state.Records {
 		switch {
 		case strings.HasPrefix(r.Key, stateKey):
-			var k job.Kept
-			if c.read(r, &k) {
+			var k job.Stored
+			if c.decodeRecord(r, &k) {
 				states[r.Key[len(stateKey):]] = k
 			}
 		case strings.HasPrefix(r.Key, lostKey):
-			var k []job.KeptLost
-			if c.read(r, &k) {
+			var k []job.StoredLost
+			if c.decodeRecord(r, &k) {
 				lost[r.Key[len(lostKey):]] = k
 				c.sideKeys[r.Key] = true
 			}
 		case strings.HasPrefix(r.Key, lateKey):
-			var k []job.KeptLate
-			if c.read(r, &k) {
+			var k []job.StoredLate
+			if c.decodeRecord(r, &k) {
 				late[r.Key[len(lateKey):]] = k
 				c.sideKeys[r.Key] = true
 			}
 		case strings.HasPrefix(r.Key, lifeKey):
 			var k keptLife
-			if c.read(r, &k) {
+			if c.decodeRecord(r, &k) {
 				earlier[r.Key[len(lifeKey):]] = k
 			}
 		case r.Key == workersKey:
 			var all []keptWorker
-			c.legacyWorkersRecord = c.read(r, &all)
+			c.legacyWorkersRecord = c.decodeRecord(r, &all)
 			for _, k := range all {
 				earlier[k.Life] = keptLife{Machine: k.Machine, Pool: k.Pool, Address: k.Address}
 			}
 		case r.Key == instancesKey:
-			c.read(r, &c.keptInstances)
+			c.decodeRecord(r, &c.previousInstances)
 		case strings.HasPrefix(r.Key, waveKey):
 			c.restoreWave(r)
 		case r.Key == lessonsKey:
-			c.restoreLessons(r, now)
-		case strings.HasPrefix(r.Key, takenKey):
+			c.restoreStats(r, now)
+		case strings.HasPrefix(r.Key, idConflictKey):
 			c.restoreIDConflict(r, now)
 		}
 	}
-	c.coarse = c.term.Coarse
-	c.aloneFrom = now
+	c.earlierUnstored = c.term.Coarse
+	c.soleLeaderFrom = now
 	if !c.term.Alone {
-		c.aloneFrom = now.Add(earlierCallsFor)
+		c.soleLeaderFrom = now.Add(earlierCallsFor)
 	}
-	c.readAt, c.raised = now, time.Time{}
-	c.serversEnd = list.Next
+	c.tablesReadAt, c.majorityFencedAt = now, time.Time{}
+	c.workersOffset = list.Next
 	slices.SortFunc(list.Records, func(a, b feed.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
 	for _, r := range list.Records {
-		c.listWorker(r.Key, r.Value)
+		c.applyWorkerRecord(r.Key, r.Value)
 	}
 	c.restoreLives(earlier)
 	for _, w := range c.workers {
-		w.before = true
+		w.knownAtTakeover = true
 	}
 	for i, page := range intakes {
 		for _, r := range page.Records {
 			c.readIntake(i, r, now)
 		}
 	}
-	ended := make(map[string][]endedRun)
-	c.restoreRates()
+	ended := make(map[string][]earlierLostRun)
+	c.recheckRates()
 	for id, j := range c.jobs {
 		if k, ok := states[id]; ok {
 			j.Restore(k, now)
 			j.RestoreLost(lost[id])
-			j.RestoreLate(late[id], now, timeOfDay(), lateMost)
+			j.RestoreLate(late[id], now, wallClock(), lateMax)
 			c.restoreRuns(j, k, ended)
-			c.dirty.Drop(id)
+			c.dirtyJobs.Drop(id)
 		}
-		c.restored[id] = true
-		j.From = now.Add(-ageOf(j.Spec.Taken, timeOfDay()))
+		c.inheritedJobs[id] = true
+		j.From = now.Add(-ageOf(j.Spec.Taken, wallClock()))
 	}
 	for i, page := range intakes {
 		for _, r := range page.Records {
 			c.readCancel(i, r, now)
 		}
 	}
-	c.endedBefore(ended)
+	c.recordEarlierLost(ended)
 	for _, j := range c.jobs {
 		c.openJob(j, now)
 	}
-	c.takeoverStep("tables-read", now)
+	c.reportTakeoverStep("tables-read", now)
 	c.emit(event.TablesRead, event.Subject{Entry: c.Entry}, "jobs=%d workers=%d earlier=%d", len(c.jobs), len(c.workers), len(earlier))
 }
 
@@ -275,7 +275,7 @@
 
 // decodeRecord decodes a stored record. A record that can't be decoded, such as one of another version, is reported
 // and skipped.
-func (c *session) read(r feed.KeyedRecord, into any) bool {
+func (c *session) decodeRecord(r feed.KeyedRecord, into any) bool {
 	err := job.Decode(r.Value, into)
 	if err != nil {
 		c.emit(event.RecordRefused, event.Subject{Job: r.Key}, "kept at offset %d, can't be decoded: %v", r.Offset, err)
@@ -285,8 +285,8 @@
 
 // followIntake reads the jobs and cancellations submitted through one partition and posts them.
 func (c *session) followIntake(part int) {
-	from := c.intakeEnd[part]
-	after := c.fresh[part]
+	from := c.intakeOffsets[part]
+	after := c.intakeReadUntil[part]
 	topic := c.Intake[part]
 	for c.ctx.Err() == nil {
 		asked := c.now()
@@ -300,7 +300,7 @@
 			cancel()
 		}
 		if err != nil {
-			sleep(c.ctx, storePause)
+			sleep(c.ctx, storeRetryPause)
 			continue
 		}
 		from = page.Next
@@ -321,19 +321,19 @@
 func (m intakeRead) apply(c *session) {
 	now := c.now()
 	if !m.page.More {
-		c.fresh[m.part] = m.asked
+		c.intakeReadUntil[m.part] = m.asked
 	}
 	for _, r := range m.page.Records {
 		if j := c.readIntake(m.part, r, now); j != nil {
 			if !c.confirmed(now) {
-				c.readUnsure[j.Spec.ID] = true
+				c.readUnconfirmed[j.Spec.ID] = true
 			}
 			if c.earlierRead(m.after) {
-				c.restored[j.Spec.ID] = true
+				c.inheritedJobs[j.Spec.ID] = true
 			}
-			c.emit(event.JobRead, event.Subject{Job: j.Spec.ID}, "%s part=%d offset=%d age=%v", describeJob(j), m.part, r.Offset, timeOfDay().Sub(j.Spec.Taken.Time()).Round(time.Millisecond))
-			c.judgeRate(j)
-			c.learnJob(j)
+			c.emit(event.JobRead, event.Subject{Job: j.Spec.ID}, "%s part=%d offset=%d age=%v", describeJob(j), m.part, r.Offset, wallClock().Sub(j.Spec.Taken.Time()).Round(time.Millisecond))
+			c.checkRate(j)
+			c.recordJobWork(j)
 			c.openJob(j, now)
 		}
 		c.readCancel(m.part, r, now)
@@ -342,7 +342,7 @@
 
 // readIntake adds the job of a submission record and returns it if it is new.
 func (c *session) readIntake(part int, r feed.KeyedRecord, now time.Time) *job.Job {
-	name, ok := job.HandedIn(r.Key)
+	name, ok := job.ParseSubmissionKey(r.Key)
 	if !ok || len(r.Value) == 0 {
 		return nil
 	}
@@ -361,7 +361,7 @@
 	}
 	spec.Organisation = organisation
 	j := job.New(spec, now)
-	j.KeptVersion = j.Version // a new job is stored by the intake itself
+	j.StoredVersion = j.Version // a new job is stored by the intake itself
 	c.jobs[spec.ID] = j
 	if c.cancelled[name] {
 		c.cancel(j, now)
@@ -371,7 +371,7 @@
 
 // readCancel applies a cancellation record, which may be read before its job if it came through another partition.
 func (c *session) readCancel(part int, r feed.KeyedRecord, now time.Time) {
-	name, ok := job.CancelWished(r.Key)
+	name, ok := job.ParseCancelKey(r.Key)
 	if !ok || len(r.Value) == 0 {
 		return
 	}
@@ -389,19 +389,19 @@
 		return
 	}
 	c.emit(event.JobRead, event.Subject{Job: j.Spec.ID}, "cancelled")
-	c.changed(j)
-	c.stopAll(j, "cancelled")
+	c.jobChanged(j)
+	c.stopJob(j, "cancelled")
 }
 
 // jobChanged marks a job for the next commit, and closes it if it has ended.
-func (c *session) changed(j *job.Job) {
-	if j.Version > j.KeptVersion {
-		c.dirty.Add(j.Spec.ID, j)
+func (c *session) jobChanged(j *job.Job) {
+	if j.Version > j.StoredVersion {
+		c.dirtyJobs.Add(j.Spec.ID, j)
 	}
 	if !j.State.Ended() {
 		return
 	}
-	delete(c.later, j.Spec.ID)
+	delete(c.notDue, j.Spec.ID)
 	c.closeJob(j)
 }
 
--- a/pool/machinecalls.go
+++ b/pool/machinecalls.go
@@ -25,7 +25,7 @@
 //
 // A call that it rejects stays with its caller, which retries calls in the order of their benefit and can cancel them. With a single queue for the
 // adapter's connections, 1,100 to 1,500 moves per test day with 1,100 instances timed out before they were sent.
-type desk struct {
+type machineCallLimiter struct {
 	inFlight    int
 	tokens      float64
 	refilledAt  time.Time
@@ -35,7 +35,7 @@
 }
 
 // tryAcquire reports whether a call may be made now. perSecond is the rate limit of the interface, 0 for none.
-func (d *desk) take(perSecond float64, now time.Time) bool {
+func (d *machineCallLimiter) tryAcquire(perSecond float64, now time.Time) bool {
 	if d.inFlight >= maxMachineCalls || now.Before(d.pausedUntil) || !d.spendToken(perSecond*machineRateShare, now) {
 		d.denied = true
 		return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-func (d *desk) spendToken(perSecond float64, now time.Time) bool {
+func (d *machineCallLimiter) spendToken(perSecond float64, now time.Time) bool {
 	if perSecond <= 0 {
 		return true
 	}
@@ -64,8 +64,8 @@
 
 // callIfConfirmed makes a call to the machine interface unless the store's last confirmation of the lead has expired. A process that was suspended,
 // or a goroutine that waited for the processor, could otherwise send the call after the next leader has taken over. The error means that nothing was
-// done.
-func (c *session) whileConfirmed(call func() error) error {
+// release.
+func (c *session) callIfConfirmed(call func() error) error {
 	if !c.confirmed(c.now()) {
 		return fmt.Errorf("machine interface not called, the lead was no longer confirmed: %w", ErrBusy)
 	}
@@ -73,7 +73,7 @@
 }
 
 // release records the end of a call, whether it was answered or not.
-func (d *desk) done() { d.inFlight-- }
+func (d *machineCallLimiter) release() { d.inFlight-- }
 
 // pause rejects all calls for machineRatePause.
-func (d *desk) rest(now time.Time) { d.pausedUntil = now.Add(machineRatePause) }
+func (d *machineCallLimiter) pause(now time.Time) { d.pausedUntil = now.Add(machineRatePause) }
--- a/pool/machinecalls_test.go
+++ b/pool/machinecalls_test.go
@@ -64,9 +64,9 @@
 }
 
 // newMoveBench returns a session with two pools and a headroom pool of the given number of instances that are off.
-func newMoveBench(c *quicktest.C, x *fakeMachines, off int) *bench {
+func newMoveBench(c *quicktest.C, x *fakeMachines, off int) *fixture {
 	x.moved = make(map[string]string)
-	b := newBench(c, nil, "w1")
+	b := newFixture(c, nil, "w1")
 	b.config = &job.Catalog{
 		Queues: map[string]job.Queue{"q": {Name: "q", Pool: "p"}, "o": {Name: "o", Pool: "other"}},
 		Pools:  map[string]job.Pool{"p": {}, "other": {}, "spare": {Headroom: true}},
@@ -77,17 +77,17 @@
 		b.machines[name] = Machine{Name: name, Pool: "spare"}
 	}
 	b.Machines.Move = x.move
-	b.machinesRead = time.Now()
-	b.reports("w1", 10, nil)
+	b.machinesListedAt = time.Now()
+	b.report("w1", 10, nil)
 	return b
 }
 
 // sizeRepeatedly runs the message loop and the sizing of pools for the given time, as the control goroutine does, while the given work is submitted
 // to the pool.
-func (b *bench) sizeRepeatedly(d time.Duration, pool string, work float64) {
+func (b *fixture) sizeRepeatedly(d time.Duration, pool string, work float64) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		b.pool(pool).handed = []handed{{at: time.Now(), work: work}}
-		for _, m := range b.inbox.take() {
+		b.pool(pool).recentWork = []submission{{at: time.Now(), work: work}}
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
 		if time.Now().UnixMilli()%100 < 5 {
@@ -124,7 +124,7 @@
 		b.sizeRepeatedly(200*time.Millisecond, "p", 250)
 		_, most, _ := x.done()
 		c.Assert(most, quicktest.Equals, maxMachineCalls)
-		b.pool("p").handed = nil
+		b.pool("p").recentWork = nil
 		b.sizeRepeatedly(4*time.Second, "other", 100) // the load has moved to another pool
 		toP, toOther := 0, 0
 		moved, _, _ := x.done()
@@ -176,8 +176,8 @@
 		x := new(fakeMachines)
 		b := newMoveBench(c, x, 0)
 		now := time.Now()
-		b.moves["m-w1"] = &moveStep{to: "spare", life: "w1", since: now, notBefore: now.Add(time.Second)}
-		b.leaveOut(b.workers["w1"], "its lease is over and it is not listed")
+		b.moves["m-w1"] = &pendingMove{to: "spare", life: "w1", since: now, notBefore: now.Add(time.Second)}
+		b.removeLife(b.workers["w1"], "its lease is over and it is not listed")
 		time.Sleep(2 * time.Second)
 		b.advanceMoves(time.Now())
 		synctest.Wait()
@@ -201,11 +201,11 @@
 			}
 			return time.Now()
 		}
-		s := &moveStep{to: "p", since: time.Now()}
+		s := &pendingMove{to: "p", since: time.Now()}
 		b.moves["off000"] = s
 		b.requestMove("off000", s)
 		synctest.Wait()
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
 		moved, _, _ := x.done()
--- a/pool/majority_test.go
+++ b/pool/majority_test.go
@@ -21,17 +21,17 @@
 // stops it, because none of its majorities needs them.
 func TestLivesThatBeganLaterDoNotStopTheEarlierLeader(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil, "w1", "w2", "w3", "w4")
+	b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 	b.term.Alone, b.term.Clean = false, false
-	b.reports("w1", 100, nil)
+	b.report("w1", 100, nil)
 	for i := range 5 {
 		life := fmt.Sprint("new", i)
-		b.listWorker(life, []byte{1})
-		b.reports(life, 100, nil)
+		b.applyWorkerRecord(life, []byte{1})
+		b.report(life, 100, nil)
 	}
-	c.Assert(b.raised.IsZero(), quicktest.IsTrue, quicktest.Commentf("three of four may still answer the earlier leader"))
-	b.reports("w2", 100, nil)
-	c.Assert(b.raised.IsZero(), quicktest.IsFalse)
+	c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsTrue, quicktest.Commentf("three of four may still answer the earlier leader"))
+	b.report("w2", 100, nil)
+	c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsFalse)
 }
 
 // TestALeaderThatHearsNoHalfOfTheWorkersTellsTheNextOfOrdersThatAreNotKept guards against a task that runs twice
@@ -44,17 +44,17 @@
 func TestALeaderThatHearsNoHalfOfTheWorkersTellsTheNextOfOrdersThatAreNotKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2", "w3", "w4")
+		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
 		var open, coarse bool
-		b.SetEarlier = func(o, k bool) { open, coarse = o, k }
-		b.reports("w1", 100, nil)
+		b.PublishEarlierLeaders = func(o, k bool) { open, coarse = o, k }
+		b.report("w1", 100, nil)
 		time.Sleep(raisedWithin(4))
-		b.watchLeases(time.Now())
+		b.checkLeases(time.Now())
 		c.Assert(open, quicktest.IsTrue)
 		c.Assert(coarse, quicktest.IsFalse, quicktest.Commentf("the earlier leader can't have gone on without the store so soon"))
-		time.Sleep(tickEvery)
-		b.watchLeases(time.Now())
+		time.Sleep(tickInterval)
+		b.checkLeases(time.Now())
 		c.Assert(coarse, quicktest.IsTrue)
 	})
 }
--- a/pool/metrics.go
+++ b/pool/metrics.go
@@ -14,18 +14,18 @@
 	jobs, firstStarts, batch tally.Histogram
 	ordered, lost, moves     tally.Counter
 	// runsLost counts the runs whose worker incarnation ended while it had them, givenUp the jobs that were given up because of that.
-	runsLost, givenUp    tally.Counter
-	upkeeps, looseStarts tally.Counter
+	runsLost, givenUp       tally.Counter
+	upkeeps, unstoredStarts tally.Counter
 	// capped counts how often a step began to wait for the cap of its organisation.
 	capped tally.Counter
 	// silentWorkers is the number of workers that do not answer, uncertainRuns the number of runs that are or may be on them.
-	silent, doubted tally.Gauge
+	silentWorkers, uncertainRuns tally.Gauge
 	// restartedWorkers counts the workers that restarted under the same ID.
-	reborn tally.Counter
+	restartedWorkers tally.Counter
 	// rejectedRecords counts the records that the store permanently rejects.
-	aside tally.Counter
+	recordsAside tally.Counter
 	// unreadableEntries is the number of unreadable entries in the list of workers.
-	misread tally.Gauge
+	unreadableEntries tally.Gauge
 }
 
 // buckets are the bounds of the histograms, from 5 ms to 41 s, longer than any client waits.
@@ -40,8 +40,8 @@
 		jobs:  scope.Histogram("job_duration", buckets), firstStarts: scope.Histogram("job_first_start", buckets),
 		batch: scope.Histogram("state_batch", buckets), ordered: scope.Counter("runs_ordered"), lost: scope.Counter("workers_lost"),
 		runsLost: scope.Counter("runs_lost"), givenUp: scope.Counter("jobs_given_up"),
-		moves: scope.Counter("instances_moved"), upkeeps: scope.Counter("upkeeps_begun"), looseStarts: scope.Counter("runs_ordered_unkept"),
-		capped: scope.Counter("steps_capped"), reborn: scope.Counter("workers_reborn"), aside: scope.Counter("records_aside"), misread: scope.Gauge("entries_misread"), silent: scope.Gauge("workers_silent"), doubted: scope.Gauge("runs_on_silent_workers"),
+		moves: scope.Counter("instances_moved"), upkeeps: scope.Counter("upkeeps_begun"), unstoredStarts: scope.Counter("runs_ordered_unkept"),
+		capped: scope.Counter("steps_capped"), restartedWorkers: scope.Counter("workers_reborn"), recordsAside: scope.Counter("records_aside"), unreadableEntries: scope.Gauge("entries_misread"), silentWorkers: scope.Gauge("workers_silent"), uncertainRuns: scope.Gauge("runs_on_silent_workers"),
 	}
 }
 
--- a/pool/modes.go
+++ b/pool/modes.go
@@ -42,11 +42,11 @@
 }
 
 // inMode reports whether the leader is in the mode.
-func (c *session) is(m mode) bool { return !c.modeSince[m].IsZero() }
+func (c *session) inMode(m mode) bool { return !c.modeSince[m].IsZero() }
 
 // setMode begins or ends a mode if its state changes.
 func (c *session) setMode(m mode, on bool, now time.Time, why string) {
-	if on == c.is(m) {
+	if on == c.inMode(m) {
 		return
 	}
 	if on {
@@ -68,24 +68,24 @@
 }
 
 // reportTakeoverStep logs and measures a step of the takeover when it is first reached.
-func (c *session) takeoverStep(name string, now time.Time) {
+func (c *session) reportTakeoverStep(name string, now time.Time) {
 	if c.takeoverSteps[name] {
 		return
 	}
 	c.takeoverSteps[name] = true
-	after := now.Sub(c.began)
+	after := now.Sub(c.startedAt)
 	c.counts.takeover(name, after)
-	c.emit(event.TakeoverStep, event.Subject{Entry: c.Entry}, "step=%s after=%v term=%d heard=%d of %d", name, after.Round(time.Millisecond), c.term.Number, c.heard, len(c.workers))
+	c.emit(event.TakeoverStep, event.Subject{Entry: c.Entry}, "step=%s after=%v term=%d heard=%d of %d", name, after.Round(time.Millisecond), c.term.Number, c.answeredCount, len(c.workers))
 }
 
 // updateModes updates the modes that follow from the state of other tables.
-func (c *session) watchModes(now time.Time) {
+func (c *session) updateModes(now time.Time) {
 	c.setMode(modeUnconfirmed, !c.confirmed(now), now, "newest confirmed renewal")
-	c.setMode(modeHearing, !c.term.Clean && c.raised.IsZero(), now, "half of the instances have this leader's token")
-	if len(c.unheard) == 0 {
-		c.takeoverStep("all-heard", now)
+	c.setMode(modeHearing, !c.term.Clean && c.majorityFencedAt.IsZero(), now, "half of the instances have this leader's token")
+	if len(c.uncertainLives) == 0 {
+		c.reportTakeoverStep("all-heard", now)
 	}
 	c.setMode(modeAside, len(c.aside) > 0, now, "what was aside is kept, or gone")
 	c.setMode(modeCrowded, c.crowded(), now, "connections to workers")
-	c.setMode(modeOrphans, c.coarse && len(c.unheard) > 0, now, "workers that have not answered")
+	c.setMode(modeOrphans, c.earlierUnstored && len(c.uncertainLives) > 0, now, "workers that have not answered")
 }
--- a/pool/orders.go
+++ b/pool/orders.go
@@ -31,20 +31,20 @@
 )
 
 // nextRunNumber returns a number above that of every earlier run of any leader.
-func (c *session) nextRun() int64 {
-	c.starts++
-	return c.term.Number<<runBits | c.starts
+func (c *session) nextRunNumber() int64 {
+	c.startCount++
+	return c.term.Number<<runBits | c.startCount
 }
 
 // planStart plans a run of the task. Its start is sent once the run is stored, so that the next leader knows where the run may be.
-func (c *session) start(w *worker, t *job.Task, r *run, now time.Time) {
-	t.Phase, t.Run, t.Worker, t.Since = job.Starting, r.number, w.Life, now
+func (c *session) planStart(w *worker, t *job.Task, r *run, now time.Time) {
+	t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.number, w.Life, now
 	t.Stopping, t.AtWork, t.Percent, t.Gauge = false, false, 0, 0
 	c.addRun(w, t, r)
-	w.newestAt = now
+	w.lastStartAt = now
 	t.Job.Version++
-	c.dirty.Add(t.Job.Spec.ID, t.Job)
-	c.planned = append(c.planned, plannedStart{worker: w, task: t, run: r})
+	c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
+	c.plannedStarts = append(c.plannedStarts, plannedStart{worker: w, task: t, run: r})
 }
 
 // plannedStart is a run whose start is to be sent once it is stored.
@@ -56,15 +56,15 @@
 
 // sendStored sends the starts of stored runs, as soon as this leader may give orders. The confirmation from the store can arrive while it may not, such as at
 // the end of a network partition.
-func (c *session) sendHeld(now time.Time) {
-	if len(c.held) == 0 || !c.mayOrder(now) {
+func (c *session) sendStored(now time.Time) {
+	if len(c.storedStarts) == 0 || !c.mayOrder(now) {
 		return
 	}
-	starts := c.held
-	c.held = nil
+	starts := c.storedStarts
+	c.storedStarts = nil
 	for i, p := range starts {
-		if c.startsUnderWay >= c.maxStartsInFlight() {
-			c.held = append(c.held, starts[i:]...) // sent when earlier starts have been answered
+		if c.startsInFlight >= c.maxStartsInFlight() {
+			c.storedStarts = append(c.storedStarts, starts[i:]...) // sent when earlier starts have been answered
 			return
 		}
 		c.sendIfValid(p, now)
@@ -87,8 +87,8 @@
 		return
 	}
 	// The worker's capacity may have shrunk or the organisation's cap been lowered since the run was planned.
-	if t.Job.State.Ended() || !w.usable(now) || w.room.Free.Lacks() || c.ledger.Over(t.Job.Spec.Organisation, t.Spec().Need) {
-		w.drop(t)
+	if t.Job.State.Ended() || !w.usable(now) || w.room.Free.AnyNegative() || c.ledger.OverCap(t.Job.Spec.Organisation, t.Spec().Need) {
+		w.dropRun(t)
 		c.requeue(t)
 		return
 	}
@@ -97,9 +97,9 @@
 
 // sendStart sends the start of a run and counts the order in r.rounds.
 func (c *session) sendStart(w *worker, t *job.Task, r *run, now time.Time) {
-	r.rounds++
-	r.sent, r.sentAt, r.began = true, now, now
-	w.newestAt = now
+	r.orderCount++
+	r.sent, r.sentAt, r.orderedAt = true, now, now
+	w.lastStartAt = now
 	r.deadline = w.deadline(startValidity, now)
 	o := work.Start{
 		Task: t.Name(), Run: r.number, Text: t.Job.Spec.Text, Deadline: r.deadline,
@@ -107,14 +107,14 @@
 	}
 	c.emit(event.RunOrdered, event.Subject{Job: o.Task, Instance: w.Life}, "run=%d waited=%v slack=%v free=%d config=%d", r.number, c.now().Sub(t.Job.Received).Round(time.Millisecond), r.slack.Round(time.Millisecond), w.room.Free.MilliCPU, c.config.Version)
 	c.counts.ordered.Inc(1)
-	c.takeoverStep("first-start", now)
+	c.reportTakeoverStep("first-start", now)
 	if !t.Job.Began {
 		c.counts.firstStarts.RecordDuration(c.now().Sub(t.Job.Received))
 	}
 	row := w.Worker
-	c.startsUnderWay++
-	c.work.Go(func() {
-		m := startEnded{worker: w, task: t, run: r.number, token: o.Fence}
+	c.startsInFlight++
+	c.background.Go(func() {
+		m := startResult{worker: w, task: t, run: r.number, token: o.Fence}
 		m.answer, m.pending, m.err = c.callStart(&row, o, now, func(sentAt time.Time) {
 			c.post(attemptUnanswered{worker: w, task: t, run: r.number, sentAt: sentAt})
 		})
@@ -123,7 +123,7 @@
 }
 
 // startResult is the outcome of a start, over all attempts.
-type startEnded struct {
+type startResult struct {
 	worker *worker
 	task   *job.Task
 	run    int64
@@ -134,12 +134,12 @@
 	err     error
 }
 
-func (m startEnded) apply(c *session) {
-	c.startsUnderWay--
-	defer func() { c.sendHeld(c.now()) }()
+func (m startResult) apply(c *session) {
+	c.startsInFlight--
+	defer func() { c.sendStored(c.now()) }()
 	w, t := m.worker, m.task
 	if m.err == nil {
-		w.read(m.answer.Clock)
+		w.readClock(m.answer.Clock)
 	}
 	r := w.runs[t]
 	if c.workers[w.Life] != w || r == nil || r.number != m.run {
@@ -152,13 +152,13 @@
 	switch {
 	case errors.Is(m.err, work.ErrNotSent):
 		c.requeueRefused(w, t, "not sent")
-		w.rest(now)
+		w.pauseStarts(now)
 	case m.err != nil:
 		c.startUnanswered(w, t, r, m.err)
-	case m.answer.Refusal == work.Done:
-		w.rests, w.unknownJob = 0, nil
+	case m.answer.Refusal == work.Accepted:
+		w.startPauses, w.lastUnknownJob = 0, nil
 		t.Refused = 0
-		c.confirm(w, t, r, m.answer.Clock)
+		c.confirmRun(w, t, r, m.answer.Clock)
 		if t.Job.State.Ended() {
 			c.stopTask(w, t, "its job has ended")
 		}
@@ -169,11 +169,11 @@
 	case m.pending > 0:
 		c.startUnanswered(w, t, r, refusedAfterPending(m.answer.Refusal))
 		if m.answer.Refusal == work.OtherLife {
-			c.strangerAnswered(w, m.answer)
+			c.otherLifeAnswered(w, m.answer)
 		}
 	case m.answer.Refusal == work.OtherLife:
 		c.requeueRefused(w, t, "its address has another life") // the run was never on this life, so the life's end does not count against it
-		c.strangerAnswered(w, m.answer)
+		c.otherLifeAnswered(w, m.answer)
 	default:
 		c.requeueRefused(w, t, m.answer.Refusal.String())
 		c.applyRefusal(w, t, m.answer.Refusal, now)
@@ -184,9 +184,9 @@
 func (c *session) requeueRefused(w *worker, t *job.Task, why string) {
 	c.counts.refused(why)
 	c.emit(event.RunRefused, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", t.Run, why)
-	w.drop(t)
+	w.dropRun(t)
 	t.Refused++
-	t.NotBefore = c.now().Add(backOff(t.Refused-1, refusedPause))
+	t.NotBefore = c.now().Add(backoff(t.Refused-1, refusedBackoff))
 	if t.Spec().Gang {
 		c.stopGang(t, "a member was refused")
 	}
@@ -196,13 +196,13 @@
 func (c *session) applyRefusal(w *worker, t *job.Task, why work.Refusal, now time.Time) {
 	switch why {
 	case work.NoRoom, work.Unhealthy:
-		w.rest(now)
-	case work.Unknown:
+		w.pauseStarts(now)
+	case work.InvalidOrder:
 		// A single job that workers reject must not keep its pool from other jobs. A worker that rejects several jobs is at fault itself.
-		if w.unknownJob != nil && w.unknownJob != t.Job {
-			w.rest(now)
+		if w.lastUnknownJob != nil && w.lastUnknownJob != t.Job {
+			w.pauseStarts(now)
 		}
-		w.unknownJob = t.Job
+		w.lastUnknownJob = t.Job
 	case work.BadTicket:
 		c.forgetTicket(t, w.Life)
 	}
@@ -220,7 +220,7 @@
 }
 
 // stopJob stops all runs of a job.
-func (c *session) stopAll(j *job.Job, why string) {
+func (c *session) stopJob(j *job.Job, why string) {
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if w := c.workers[t.Worker]; w != nil && w.runs[t] != nil {
@@ -232,8 +232,8 @@
 // stopTask orders a task's run to stop. The worker's reports tell when it has ended.
 func (c *session) stopTask(w *worker, t *job.Task, why string) {
 	r := w.runs[t]
-	if r != nil && !r.sent && !r.earlier {
-		w.drop(t) // the start was not sent and will not be
+	if r != nil && !r.sent && !r.fromEarlierLeader {
+		w.dropRun(t) // the start was not sent and will not be
 		c.requeue(t)
 		return
 	}
@@ -247,11 +247,11 @@
 }
 
 // stopStray orders a run to stop that is not the current run of any task.
-func (c *session) stopRun(w *worker, name string, number int64, why string) {
-	if c.now().Sub(w.strays[number]) < stopRetry {
+func (c *session) stopStray(w *worker, name string, number int64, why string) {
+	if c.now().Sub(w.strayRuns[number]) < stopRetry {
 		return
 	}
-	w.strays[number] = c.now()
+	w.strayRuns[number] = c.now()
 	c.emit(event.RunStopped, event.Subject{Job: name, Instance: w.Life}, "run=%d why=%q", number, why)
 	c.callStop(w, name, number, nil)
 }
@@ -266,16 +266,16 @@
 	if !c.mayOrder(c.now()) {
 		return // if the run goes on, the stop is sent at a later check
 	}
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 		defer cancel()
 		a, err := c.Calls.Stop(ctx, &row, o)
-		c.post(stopEnded{worker: w, task: t, run: number, token: o.Fence, answer: a, err: err})
+		c.post(stopResult{worker: w, task: t, run: number, token: o.Fence, answer: a, err: err})
 	})
 }
 
 // stopResult is the outcome of a stop.
-type stopEnded struct {
+type stopResult struct {
 	worker *worker
 	task   *job.Task
 	run    int64
@@ -284,18 +284,18 @@
 	err    error
 }
 
-func (m stopEnded) apply(c *session) {
+func (m stopResult) apply(c *session) {
 	w := m.worker
 	if c.workers[w.Life] != w || m.err != nil {
 		return // the worker's reports decide
 	}
-	w.read(m.answer.Clock)
+	w.readClock(m.answer.Clock)
 	switch m.answer.Refusal {
 	case work.Fenced:
 		c.tokenRefused(w, m.token)
 	case work.OtherLife:
-		c.strangerAnswered(w, m.answer)
-	case work.Done:
+		c.otherLifeAnswered(w, m.answer)
+	case work.Accepted:
 		if r := w.runs[m.task]; r != nil && r.number == m.run {
 			r.stopped = m.answer.Clock
 		}
@@ -303,7 +303,7 @@
 }
 
 // resolveUnanswered handles runs whose start got no answer: it resends the start or stops the run. It also repeats unanswered stops.
-func (c *session) settleUnanswered(now time.Time) {
+func (c *session) resolveUnanswered(now time.Time) {
 	for _, w := range c.workers {
 		if len(w.runs) == 0 {
 			continue
--- a/pool/orgmetrics.go
+++ b/pool/orgmetrics.go
@@ -25,7 +25,7 @@
 }
 
 // updateOrganisationGauges updates the gauges once per organisationGaugeInterval.
-func (c *session) tellOrganisations(now time.Time) {
+func (c *session) updateOrganisationGauges(now time.Time) {
 	m := &c.organisationMetrics
 	if now.Sub(m.updatedAt) < organisationGaugeInterval {
 		return
--- a/pool/owner.go
+++ b/pool/owner.go
@@ -13,7 +13,7 @@
 
 // jobQuestion is a job.Question posted to the control goroutine.
 type jobQuestion struct {
-	job.Question
+	job.Query
 	reply chan<- job.Answer
 }
 
@@ -26,16 +26,16 @@
 		m.reply <- job.Answer{Known: true, Pending: c.pendingJobs(m.Queue)}
 		return
 	}
-	if _, ok := c.idConflicts[job.OwnedBy(m.Organisation, m.ID)]; ok {
+	if _, ok := c.idConflicts[job.Qualify(m.Organisation, m.ID)]; ok {
 		m.reply <- job.Answer{Known: true, State: job.Failed, Organisation: m.Organisation}
 		return
 	}
 	j := c.jobs[m.ID]
-	if j == nil || !m.Sees(j.Spec) {
-		m.reply <- job.Answer{Certain: c.isFresh()}
+	if j == nil || !m.MaySee(j.Spec) {
+		m.reply <- job.Answer{Certain: c.intakeIsCurrent()}
 		return
 	}
-	m.reply <- job.Answer{Known: true, State: j.Shown(), Organisation: j.Spec.Organisation}
+	m.reply <- job.Answer{Known: true, State: j.VisibleState(), Organisation: j.Spec.Organisation}
 }
 
 // idConflict is a job whose ID is already in use by another organisation's job. It can't run, because workers
@@ -48,7 +48,7 @@
 // recordIDConflict reports whether another organisation's job in the tables has the ID, and if so marks the second
 // job as failed. The second job is shown as failed to its own organisation at once and does not affect the first one.
 // The decision is stored, so that every later leader makes the same one.
-func (c *session) recordIDConflict(name job.Owned, part int) bool {
+func (c *session) recordIDConflict(name job.QualifiedID, part int) bool {
 	organisation, id := name.Parts()
 	if _, ok := c.idConflicts[name]; ok {
 		return true
@@ -58,26 +58,26 @@
 		return false
 	}
 	c.idConflicts[name] = &idConflict{since: c.now()}
-	c.takenDirty = true
+	c.idConflictsDirty = true
 	c.emit(event.JobRefused, event.Subject{Job: id}, "organisation=%s: the job ID is in use by another organisation's job; submit the job under a new ID", organisation)
-	c.dropRecords(name, 1<<part)
+	c.deleteIntakeRecords(name, 1<<part)
 	return true
 }
 
 // appendIDConflicts appends a record for each ID conflict that is not stored yet, and deletions of the forgotten
 // ones.
-func (c *session) keepTaken(records []feed.KeyedRecord) []feed.KeyedRecord {
-	for _, name := range c.takenGone {
-		records = append(records, feed.KeyedRecord{Key: takenKey + string(name)})
+func (c *session) appendIDConflicts(records []feed.KeyedRecord) []feed.KeyedRecord {
+	for _, name := range c.idConflictsDropped {
+		records = append(records, feed.KeyedRecord{Key: idConflictKey + string(name)})
 	}
-	c.takenGone = nil
-	if !c.takenDirty {
+	c.idConflictsDropped = nil
+	if !c.idConflictsDirty {
 		return records
 	}
-	c.takenDirty = false
+	c.idConflictsDirty = false
 	for name, t := range c.idConflicts {
 		if !t.kept {
-			records = append(records, feed.KeyedRecord{Key: takenKey + string(name), Value: []byte{1}})
+			records = append(records, feed.KeyedRecord{Key: idConflictKey + string(name), Value: []byte{1}})
 			t.kept = true
 		}
 	}
@@ -86,7 +86,7 @@
 
 // restoreIDConflict restores an ID conflict that an earlier leader stored.
 func (c *session) restoreIDConflict(r feed.KeyedRecord, now time.Time) {
-	c.idConflicts[job.Owned(strings.TrimPrefix(r.Key, takenKey))] = &idConflict{since: now, kept: true}
+	c.idConflicts[job.QualifiedID(strings.TrimPrefix(r.Key, idConflictKey))] = &idConflict{since: now, kept: true}
 }
 
 // forgetIDConflicts drops the conflicts whose state clients can no longer ask for.
@@ -94,7 +94,7 @@
 	for name, t := range c.idConflicts {
 		if now.Sub(t.since) > c.Bounds().Status+forgetAfter {
 			delete(c.idConflicts, name)
-			c.takenGone = append(c.takenGone, name)
+			c.idConflictsDropped = append(c.idConflictsDropped, name)
 		}
 	}
 }
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -20,7 +20,7 @@
 // targets.
 func (c *session) paceFills(w *worker, now time.Time) {
 	mixed := w.room.Filling > 0 && w.room.Serving > 0
-	w.mixed.Store(mixed)
+	w.mixedLoad.Store(mixed)
 	if w.room.Filling == 0 {
 		return
 	}
@@ -46,7 +46,7 @@
 	o := work.Pace{Task: t.Name(), Run: r.number, Percent: r.pace, Fence: w.token.Load()}
 	c.emit(event.RunPaced, event.Subject{Job: o.Task, Instance: w.Life}, "run=%d percent=%d tail=%.2f of its target", o.Run, o.Percent, worst)
 	row := w.Worker
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 		defer cancel()
 		a, err := c.Calls.Pace(ctx, &row, o)
--- a/pool/pending.go
+++ b/pool/pending.go
@@ -26,7 +26,7 @@
 // Limits and timing of unanswered starts.
 const (
 	// lateMax is how long an unanswered order may still be carried out. The users' interface specifies "seconds".
-	lateMost = 15 * time.Second
+	lateMax = 15 * time.Second
 	// startAttempts is the maximum number of attempts per order. The first attempt times out after startTimeout, the second after twice that, and the last
 	// one at the end of orderTimeout.
 	startAttempts = 3
@@ -100,7 +100,7 @@
 		return // no other life bears its ID
 	}
 	m.worker.notePending(m.sentAt)
-	if until := m.sentAt.Add(lateMost); until.After(m.task.LateUntil) {
+	if until := m.sentAt.Add(lateMax); until.After(m.task.LateUntil) {
 		c.setLateUntil(m.task, until)
 	}
 }
@@ -117,7 +117,7 @@
 // setLateUntil sets the task's LateUntil and marks the job dirty, so that the next leader learns of it.
 func (c *session) setLateUntil(t *job.Task, until time.Time) {
 	t.SetLateUntil(until)
-	c.dirty.Add(t.Job.Spec.ID, t.Job)
+	c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
 }
 
 // clearLate clears the task's LateUntil once no start of it can be carried out late.
@@ -157,24 +157,24 @@
 // mustResendHandedOn reports whether the start of a run that was handed on to this life, which does not have the run, must be sent to this life too: a later
 // life may still carry out a copy of the start, so the task must not run elsewhere. A task suspected of having ended its worker's life is tried apart instead.
 func (w *worker) mustResendHandedOn(t *job.Task, r *run, now time.Time) bool {
-	return r.handedOn && r.pending.count > 0 && w.Birth != 0 && t.MayComeLate(now) && !t.Suspect && !t.Job.State.Ended()
+	return r.carriedOver && r.pending.count > 0 && w.Birth != 0 && t.MayComeLate(now) && !t.Suspect && !t.Job.State.Ended()
 }
 
 // markForResend turns a run that was handed on into an unanswered run of this life, so that resendStart sends its start under the same number.
 func (r *run) markForResend() {
-	r.handedOn, r.earlier, r.unanswered = false, false, true
-	r.deadline, r.rounds = 0, 0 // the deadline was on the previous life's clock
+	r.carriedOver, r.fromEarlierLeader, r.unanswered = false, false, true
+	r.deadline, r.orderCount = 0, 0 // the deadline was on the previous life's clock
 }
 
 // resendStart sends an unanswered start again, up to startRounds.
 func (c *session) resendStart(w *worker, t *job.Task, r *run, now time.Time) {
-	if r.rounds < startRounds && w.usable(now) && c.mayOrder(now) {
+	if r.orderCount < startRounds && w.usable(now) && c.mayOrder(now) {
 		c.sendStart(w, t, r, now)
 	}
 }
 
 // ackAfter returns the time before which an end must not be acknowledged, or the zero time if the end only has to be stored first.
-func (c *session) ackAfter(w *worker, e work.End, now time.Time) time.Time {
+func (c *session) ackAfter(w *worker, e work.EndedRun, now time.Time) time.Time {
 	t := c.task(e.Task)
 	if t == nil || w.Birth == 0 || !t.MayComeLate(now) {
 		return time.Time{}
@@ -195,7 +195,7 @@
 func (w *worker) hasPendingStarts(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.pendingAt.IsZero() && now.Sub(w.pendingAt) < lateMost
+	return !w.pendingAt.IsZero() && now.Sub(w.pendingAt) < lateMax
 }
 
 // retryPause returns the pause after a failed hold. It is shorter than usual while the worker's next life may receive a late order. The hold loop calls it,
