--- a/pool/pending_test.go
+++ b/pool/pending_test.go
@@ -16,7 +16,7 @@
 )
 
 // startsAnswered makes the worker answer successive starts with the given refusals; further starts get no answer. It returns the starts that were sent.
-func (b *bench) startsAnswered(answers ...work.Refusal) *[]work.Start {
+func (b *fixture) startsAnswered(answers ...work.Refusal) *[]work.Start {
 	sent := new([]work.Start)
 	b.Calls.Start = func(ctx context.Context, _ *work.Worker, o work.Start) (work.Answer, error) {
 		*sent = append(*sent, o)
@@ -33,23 +33,23 @@
 const unanswered = work.Refusal(255)
 
 // pendingBench returns a session that has sent the start of a job's only task to w@9, and the starts that the worker was sent.
-func pendingBench(c *quicktest.C, answers ...work.Refusal) (*bench, *[]work.Start) {
-	b := bornBench(c, one(1))
+func pendingBench(c *quicktest.C, answers ...work.Refusal) (*fixture, *[]work.Start) {
+	b := newBirthFixture(c, jobWithTasks(1))
 	sent := b.startsAnswered(answers...)
-	b.lists("w", 9)
-	b.reports("w@9", 50, nil)
-	b.keeps()
-	c.Assert(b.ordered(), quicktest.Equals, 1)
-	b.keeps()
+	b.list("w", 9)
+	b.report("w@9", 50, nil)
+	b.commitAll()
+	c.Assert(b.placeAndCount(), quicktest.Equals, 1)
+	b.commitAll()
 	b.settles()
 	return b, sent
 }
 
 // settles waits until all attempts at a start are over.
-func (b *bench) settles() {
+func (b *fixture) settles() {
 	time.Sleep(orderTimeout)
 	synctest.Wait()
-	for _, m := range b.inbox.take() {
+	for _, m := range b.inbox.takeAll() {
 		m.apply(b.session)
 	}
 }
@@ -64,8 +64,8 @@
 		phase   job.Phase
 		late    bool
 	}{
-		{"answered at once", []work.Refusal{work.Done}, 1, job.Active, false},
-		{"the second attempt is answered", []work.Refusal{unanswered, work.Done}, 2, job.Active, true},
+		{"answered at once", []work.Refusal{work.Accepted}, 1, job.Active, false},
+		{"the second attempt is answered", []work.Refusal{unanswered, work.Accepted}, 2, job.Active, true},
 		{"the second attempt is refused", []work.Refusal{unanswered, work.NoRoom}, 2, job.Starting, true},
 		{"no attempt is answered", nil, startAttempts, job.Starting, true},
 		{"refused at once", []work.Refusal{work.NoRoom}, 1, job.Waiting, false},
@@ -91,16 +91,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b, sent := pendingBench(c)
-		b.reports("w@9", 50_000, nil) // far past the start's deadline
+		b.report("w@9", 50_000, nil) // far past the start's deadline
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@9")
 		for range 2 * startRounds {
-			b.settleUnanswered(b.now())
+			b.resolveUnanswered(b.now())
 			b.settles()
-			b.reports("w@9", 60_000, nil)
+			b.report("w@9", 60_000, nil)
 		}
 		c.Assert(*sent, quicktest.HasLen, startRounds*startAttempts)
-		time.Sleep(lateMost)
-		b.reports("w@9", 90_000, nil)
+		time.Sleep(lateMax)
+		b.report("w@9", 90_000, nil)
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 	})
 }
@@ -108,20 +108,20 @@
 // TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate guards against a task whose end was acknowledged and that runs again on the next life
 // under its worker's ID.
 func TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate(t *testing.T) {
-	for _, how := range [...]work.How{work.Succeeded, work.Failed} {
+	for _, how := range [...]work.Outcome{work.Succeeded, work.Failed} {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
-			b, _ := pendingBench(c, unanswered, work.Done)
+			b, _ := pendingBench(c, unanswered, work.Accepted)
 			w := b.workers["w@9"]
-			b.reports("w@9", 100, nil, work.End{N: 1, Task: taskName, Run: b.task(0).Run, How: how})
-			b.keeps()
+			b.report("w@9", 100, nil, work.EndedRun{Seq: 1, Task: taskName, Run: b.task(0).Run, Outcome: how})
+			b.commitAll()
 			c.Assert(w.acked.Load(), quicktest.Equals, int64(0))
 			c.Assert(w.ackDelayed.Load(), quicktest.IsTrue)
-			c.Assert(b.ordered(), quicktest.Equals, 0)
-			time.Sleep(lateMost)
-			b.reports("w@9", 20_000, nil)
+			c.Assert(b.placeAndCount(), quicktest.Equals, 0)
+			time.Sleep(lateMax)
+			b.report("w@9", 20_000, nil)
 			c.Assert(w.acked.Load(), quicktest.Equals, int64(1))
-			c.Assert(b.ordered() == 1, quicktest.Equals, how == work.Failed)
+			c.Assert(b.placeAndCount() == 1, quicktest.Equals, how == work.Failed)
 		})
 	}
 }
@@ -131,14 +131,14 @@
 func TestARunWhoseStartMayComeLateIsLookedForAtTheNextLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b, _ := pendingBench(c, unanswered, work.Done)
+		b, _ := pendingBench(c, unanswered, work.Accepted)
 		token := b.workers["w@9"].token.Load()
-		holdEnded{worker: b.workers["w@9"], err: work.ErrNotSent}.apply(b.session)
+		holdResult{worker: b.workers["w@9"], err: work.ErrNotSent}.apply(b.session)
 		c.Assert(b.workers["w@9"].token.Load() > token, quicktest.IsTrue, quicktest.Commentf("the next answering life must see a token above the start's"))
-		b.stranger("w@9", 4)
+		b.answerAsOtherLife("w@9", 4)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 		c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
-		b.reports("w@4", 3, nil)
+		b.report("w@4", 3, nil)
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 		c.Assert(b.task(0).MayComeLate(b.now()), quicktest.IsFalse)
 	})
@@ -149,23 +149,23 @@
 func TestATaskStaysWithItsWorkerIDWhileItsStartMayComeLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b, sent := pendingBench(c, unanswered, work.Done)
-		b.lists("v", 9) // another worker with room
-		b.reports("v@9", 50, nil)
+		b, sent := pendingBench(c, unanswered, work.Accepted)
+		b.list("v", 9) // another worker with room
+		b.report("v@9", 50, nil)
 		time.Sleep(2 * suspectMaxAge) // makes the run too old to be suspected of ending the life
-		b.stranger("w@9", 4)
-		b.lists("w", 4)
-		b.reports("w@4", 3, nil)
+		b.answerAsOtherLife("w@9", 4)
+		b.list("w", 4)
+		b.report("w@4", 3, nil)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 		c.Assert(b.task(0).MayComeLate(b.now()), quicktest.IsTrue)
-		c.Assert(b.ordered(), quicktest.Equals, 0)
-		b.settleUnanswered(b.now())
+		c.Assert(b.placeAndCount(), quicktest.Equals, 0)
+		b.resolveUnanswered(b.now())
 		b.settles()
 		c.Assert(len(*sent) > 2, quicktest.IsTrue, quicktest.Commentf("the start must be sent to the next life"))
-		b.stranger("w@4", 7)
+		b.answerAsOtherLife("w@4", 7)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@7")
-		time.Sleep(lateMost)
-		b.reports("w@7", 20_000, nil)
+		time.Sleep(lateMax)
+		b.report("w@7", 20_000, nil)
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 	})
 }
@@ -174,19 +174,19 @@
 func TestAnEndRightAfterALateStartIsNotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := bornBench(c, one(1))
+		b := newBirthFixture(c, jobWithTasks(1))
 		b.startsAnswered()
-		b.lists("w", 9)
-		b.reports("w@9", 50, nil)
-		b.keeps()
-		c.Assert(b.ordered(), quicktest.Equals, 1)
-		b.keeps()
+		b.list("w", 9)
+		b.report("w@9", 50, nil)
+		b.commitAll()
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
+		b.commitAll()
 		time.Sleep(2 * startTimeout) // the second attempt is under way
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
-		b.reports("w@9", 300, nil, work.End{N: 1, Task: taskName, Run: b.task(0).Run, How: work.Succeeded})
-		b.keeps()
+		b.report("w@9", 300, nil, work.EndedRun{Seq: 1, Task: taskName, Run: b.task(0).Run, Outcome: work.Succeeded})
+		b.commitAll()
 		c.Assert(b.workers["w@9"].acked.Load(), quicktest.Equals, int64(0))
 		b.settles()
 	})
@@ -198,16 +198,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b, _ := pendingBench(c)
-		state := feed.KeyedPage{Records: b.appendJobs(&commitEnded{versions: make(map[*job.Job]int64)}, nil)}
+		state := feed.KeyedPage{Records: b.appendJobs(&commitBatch{versions: make(map[*job.Job]int64)}, nil)}
 		j := b.jobs["00000000000000a1"]
-		intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
-		next := bornBench(c, one(1))
-		next.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
-		next.reports("w@9", 60_000, nil)
-		next.keeps()
+		intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
+		next := newBirthFixture(c, jobWithTasks(1))
+		next.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
+		next.report("w@9", 60_000, nil)
+		next.commitAll()
 		c.Assert(next.task(0).Phase, quicktest.Equals, job.Waiting)
-		c.Assert(next.ordered(), quicktest.Equals, 0)
-		time.Sleep(lateMost)
-		c.Assert(next.ordered(), quicktest.Equals, 1)
+		c.Assert(next.placeAndCount(), quicktest.Equals, 0)
+		time.Sleep(lateMax)
+		c.Assert(next.placeAndCount(), quicktest.Equals, 1)
 	})
 }
--- a/pool/placing.go
+++ b/pool/placing.go
@@ -9,12 +9,12 @@
 	"rackstep.dev/place"
 )
 
-func (c *session) dirtyPool(name string) { c.pool(name).dirty = true }
+func (c *session) markPoolDirty(name string) { c.pool(name).dirty = true }
 
 // markAllDirty schedules a placement pass for every pool after a condition that held jobs back is gone. The waiting tasks are already in their open
 // groups, so the jobs are not opened again: opening every job with the first report of each worker took a leader 5.2 s of a core with 1,100 workers
 // and 5,000 jobs.
-func (c *session) dirtyAll() {
+func (c *session) markAllDirty() {
 	for _, p := range c.pools {
 		p.dirty = true
 	}
@@ -26,18 +26,18 @@
 		return
 	}
 	for k := range max(j.Spec.Times, 1) {
-		c.openTime(j, k, now)
+		c.openOccurrence(j, k, now)
 	}
 }
 
 // openOccurrence opens the steps of one scheduled occurrence of a job, or defers them until the occurrence is due.
-func (c *session) openTime(j *job.Job, k int, now time.Time) {
-	if j.Spec.Times > 0 && timeOfDay().Before(j.Due(k)) {
-		c.later[j.Spec.ID] = j
+func (c *session) openOccurrence(j *job.Job, k int, now time.Time) {
+	if j.Spec.Times > 0 && wallClock().Before(j.Due(k)) {
+		c.notDue[j.Spec.ID] = j
 		return
 	}
 	for step := range j.Spec.Steps {
-		if j.StepLeft(k, step) > 0 && j.StepOpen(k, step, timeOfDay()) {
+		if j.StepUnfinished(k, step) > 0 && j.StepOpen(k, step, wallClock()) {
 			c.openStep(j, k, step)
 		}
 	}
@@ -45,12 +45,12 @@
 
 // wallClock returns the wall clock time, which is compared with due times and with times reported by other entries. The scheduler's Clock is not
 // suitable for this: it adds the duration of suspensions, which the wall clock already includes.
-func timeOfDay() time.Time { return time.Now() }
+func wallClock() time.Time { return time.Now() }
 
 // openDue opens the occurrences that have become due.
 func (c *session) openDue(now time.Time) {
-	for id, j := range c.later {
-		delete(c.later, id)
+	for id, j := range c.notDue {
+		delete(c.notDue, id)
 		c.openJob(j, now)
 	}
 }
@@ -60,7 +60,7 @@
 	q := c.queue(j)
 	p := c.pool(q.Pool)
 	key := groupKey{job: j.Spec.ID, time: k, step: step}
-	g := &place.Group{Job: j, Time: k, Step: step, Priority: q.Priority, Lasting: j.Spec.Steps[step].Lasting, Beyond: j.Beyond, Since: j.From, Opened: c.now()}
+	g := &place.Group{Job: j, Time: k, Step: step, Priority: q.Priority, Lasting: j.Spec.Steps[step].Lasting, OverRate: j.OverRate, Since: j.From, ReadySince: c.now()}
 	tasks := j.StepTasks(k, step)
 	for i := range tasks {
 		if startable(&tasks[i]) {
@@ -72,7 +72,7 @@
 		return
 	}
 	if before := p.open[key]; before != nil {
-		g.Capped, g.ToldCapped = before.Capped, before.ToldCapped
+		g.Capped, g.CappedLogged = before.Capped, before.CappedLogged
 	}
 	p.open[key] = g
 	p.dirty = true
@@ -84,12 +84,12 @@
 	q := c.queue(j)
 	from := j.From
 	if j.Spec.Times > 0 {
-		from = now.Add(j.Due(g.Time).Sub(timeOfDay()))
+		from = now.Add(j.Due(g.Time).Sub(wallClock()))
 	}
-	whole, left, work := c.chains(j, g.Time, q.Name)
+	whole, left, work := c.criticalPath(j, g.Time, q.Name)
 	e := place.Estimate{
-		From: from, Aim: time.Duration(q.Stretch*float64(whole)) + q.Target, Whole: whole, Left: left,
-		Density: relativeValue(c.jobWork(j, q.Name)/max(c.learned(q.Name).work, minWork)) / max(work, minWork),
+		From: from, Target: time.Duration(q.Stretch*float64(whole)) + q.Target, Total: whole, Remaining: left,
+		Density: relativeValue(c.jobWork(j, q.Name)/max(c.statsOf(q.Name).work, minWork)) / max(work, minWork),
 	}
 	g.Outlook = e.At(now)
 }
@@ -121,11 +121,11 @@
 	}
 	now := c.now()
 	t.Phase, t.Worker, t.Stopping = job.Waiting, "", false
-	if t.Spec().Lasting && (t.AtWork || t.Gone.IsZero()) {
-		t.Gone = now
+	if t.Spec().Lasting && (t.AtWork || t.DownSince.IsZero()) {
+		t.DownSince = now
 	}
 	t.AtWork = false
-	if t.Job.StepOpen(t.Time, t.Step, timeOfDay()) {
+	if t.Job.StepOpen(t.Time, t.Step, wallClock()) {
 		c.openStep(t.Job, t.Time, t.Step)
 	}
 }
@@ -138,13 +138,13 @@
 		return
 	}
 	for _, p := range c.pools {
-		if !p.dirty || now.Before(p.next) {
+		if !p.dirty || now.Before(p.nextLookAt) {
 			continue
 		}
 		p.dirty = false
 		c.placePool(p, now)
 		ended := c.now()
-		p.next = ended.Add(placementPauseFactor * ended.Sub(now))
+		p.nextLookAt = ended.Add(placementPauseFactor * ended.Sub(now))
 		now = ended
 	}
 }
@@ -163,8 +163,8 @@
 	}
 	open := c.placeableGroups(p, now)
 	draft := c.draft()
-	place.OrderShared(open, place.Shares{Draft: draft, Whole: c.totalCapacity()})
-	capacity = c.placeApart(p, open, capacity, draft, now)
+	place.OrderShared(open, place.Shares{Draft: draft, Total: c.totalCapacity()})
+	capacity = c.placeSuspects(p, open, capacity, draft, now)
 	for _, x := range place.Tasks(open, capacity, draft) {
 		c.startChoice(x, now)
 	}
@@ -178,28 +178,28 @@
 }
 
 // capacitySnapshot returns copies of the free capacity of the usable workers of the pool.
-func (c *session) capacitySnapshot(p *poolRow, now time.Time) []*place.Room {
-	copies := make([]place.Room, 0, len(c.workers))
+func (c *session) capacitySnapshot(p *poolRow, now time.Time) []*place.Candidate {
+	copies := make([]place.Candidate, 0, len(c.workers))
 	confirmed := c.confirmed(now)
-	enforcesCapacity := c.config != nil && c.config.Pools[p.name].Guards
+	enforcesCapacity := c.config != nil && c.config.Pools[p.name].AdmissionCheck
 	for _, w := range c.workers {
 		if w.Pool != p.name {
 			continue
 		}
-		if w.unknown > 0 && !enforcesCapacity {
+		if w.unknownRuns > 0 && !enforcesCapacity {
 			continue // the resources used by unknown runs are not known, and such a worker accepts whatever it is sent; a later report shows when they have ended
 		}
-		if now.Before(w.restUntil) {
+		if now.Before(w.startsPausedUntil) {
 			p.dirty = true // retried with the next tick
 		}
-		if w.usable(now) && w.trial == nil && c.workersKept[w.Life] && (w.sure || confirmed) {
+		if w.usable(now) && w.trial == nil && c.storedLives[w.Life] && (w.listedAtConfirmation || confirmed) {
 			r := w.room
-			r.Fresh = now.Sub(w.newestAt) <= alikeWithin
+			r.RecentStart = now.Sub(w.lastStartAt) <= similarAge
 			r.Cold = now.Before(w.coldUntil)
 			copies = append(copies, r)
 		}
 	}
-	rooms := make([]*place.Room, len(copies))
+	rooms := make([]*place.Candidate, len(copies))
 	for i := range copies {
 		rooms[i] = &copies[i]
 	}
@@ -212,10 +212,10 @@
 	confirmed := c.confirmed(now)
 	groups := make([]*place.Group, 0, len(p.open))
 	for _, g := range p.open {
-		if (blocked && c.restored[g.Job.Spec.ID]) || c.jobIsAside(g.Job) {
+		if (blocked && c.inheritedJobs[g.Job.Spec.ID]) || c.jobIsAside(g.Job) {
 			continue
 		}
-		if !confirmed && c.readUnsure[g.Job.Spec.ID] {
+		if !confirmed && c.readUnconfirmed[g.Job.Spec.ID] {
 			p.dirty = true
 			continue
 		}
@@ -238,8 +238,8 @@
 			continue
 		}
 		c.countPlacedTasks(g, step)
-		if now.Sub(g.Ranked) > outlookTTL {
-			g.Ranked = now
+		if now.Sub(g.RankedAt) > outlookTTL {
+			g.RankedAt = now
 			c.updateOutlook(g, now)
 		}
 		groups = append(groups, g)
@@ -250,7 +250,7 @@
 // mayHaveUnstoredRuns reports whether an earlier leader may have started, or may still start, runs that are not stored: one that continued without
 // the store, or one that may do so until half of the instances have this leader's token.
 func (c *session) mayHaveUnstoredRuns() bool {
-	return c.coarse || (!c.term.Clean && c.raised.IsZero())
+	return c.earlierUnstored || (!c.term.Clean && c.majorityFencedAt.IsZero())
 }
 
 // hasUnansweredWorkers reports whether an unstored run of an earlier leader may still be active on a worker of the pool that has not answered this
@@ -259,7 +259,7 @@
 	if !c.mayHaveUnstoredRuns() {
 		return false
 	}
-	for _, w := range c.unheard {
+	for _, w := range c.uncertainLives {
 		if w.Pool == pool {
 			return true
 		}
@@ -295,8 +295,8 @@
 func markHeld(tasks []*job.Task, now time.Time) int {
 	held := 0
 	for _, t := range tasks {
-		t.Held = now.Before(t.NotBefore) || t.MayComeLate(now)
-		if t.Held {
+		t.BackingOff = now.Before(t.NotBefore) || t.MayComeLate(now)
+		if t.BackingOff {
 			held++
 		}
 	}
@@ -304,7 +304,7 @@
 }
 
 // startable reports whether a task waits for a run and is not parked.
-func startable(t *job.Task) bool { return t.Phase == job.Waiting && !t.Parked() }
+func startable(t *job.Task) bool { return t.Phase == job.Waiting && !t.GivenUp() }
 
 func startableTasks(tasks []*job.Task) []*job.Task {
 	kept := tasks[:0]
@@ -319,20 +319,20 @@
 // startChoice plans the start that placement has chosen. The members of a gang share a run number and the saved progress.
 func (c *session) startChoice(choice place.Choice, now time.Time) {
 	t := choice.Task
-	w := c.workers[choice.Room.Worker.Life]
-	if t.Spec().Lasting && !c.mayLast(w, now) {
+	w := c.workers[choice.Candidate.Worker.Life]
+	if t.Spec().Lasting && !c.canStartLasting(w, now) {
 		return // the task keeps waiting
 	}
 	number := int64(0)
 	if t.Spec().Gang {
 		number = c.gangRunNumber(t)
 	} else {
-		number = c.nextRun()
+		number = c.nextRunNumber()
 	}
-	if choice.Apart {
-		c.try(w, t, number)
+	if choice.Isolated {
+		c.startTrial(w, t, number)
 	}
-	c.start(w, t, &run{number: number, sentAt: now, pace: fullPercent, ticket: choice.Ticket, slack: choice.Slack}, now)
+	c.planStart(w, t, &run{number: number, sentAt: now, pace: fullPercent, ticket: choice.Ticket, slack: choice.Slack}, now)
 }
 
 // gangRunNumber returns the run number shared by the members of the gang that are started together, and copies the saved progress of the gang to the
@@ -351,7 +351,7 @@
 			break
 		}
 	}
-	return c.nextRun()
+	return c.nextRunNumber()
 }
 
 func stepName(t *job.Task) string {
--- a/pool/proof.go
+++ b/pool/proof.go
@@ -20,7 +20,7 @@
 	// renewal is lead.ConfirmedFor old, and computing it took an eighth of a tick at 3,000 workers.
 	quorumFrom = lead.ConfirmedFor / 2
 	// leaseSlack allows for rounding to milliseconds where a lease is passed on.
-	doubtSlack = 50 * time.Millisecond
+	leaseSlack = 50 * time.Millisecond
 )
 
 // mayOrder reports whether this leader may extend leases and order starts and stops at the given time. The time must have been read before any
@@ -34,17 +34,17 @@
 //
 // earlierStoppedBy is the same bound from the next leader's point of view.
 func (c *session) mayOrder(now time.Time) bool {
-	return c.confirmed(now) || c.provedByMost(now)
+	return c.confirmed(now) || c.provedByQuorum(now)
 }
 
 // confirmed reports whether the store's confirmations prove that this entry leads.
 func (c *session) confirmed(now time.Time) bool {
-	return c.exact(now).Sub(c.ConfirmedAt()) < lead.ConfirmedFor
+	return c.laterOf(now).Sub(c.ConfirmedAt()) < lead.ConfirmedFor
 }
 
 // laterOf returns the current time if the machine was suspended after the given time was read, and the given time otherwise: a proof that was valid before a
 // suspension proves nothing after it. All checks of a proof's age use it.
-func (c *session) exact(now time.Time) time.Time {
+func (c *session) laterOf(now time.Time) time.Time {
 	if present := c.exactNow(); present.After(now) {
 		return present
 	}
@@ -52,19 +52,19 @@
 }
 
 // provedByQuorum reports whether a majority of the listed workers has answered recent calls.
-func (c *session) provedByMost(now time.Time) bool {
-	asked := c.mostAsked.Load()
-	return asked != nil && c.exact(now).Sub(*asked) < quorumValidFor
+func (c *session) provedByQuorum(now time.Time) bool {
+	asked := c.majorityAskedAt.Load()
+	return asked != nil && c.laterOf(now).Sub(*asked) < quorumValidFor
 }
 
 // instanceCount returns how many instances can run tasks. This is the larger of the numbers in the machine interface's list, which includes instances
 // that are not listed because they can't reach the store, and in the list of workers. Both this leader and the next one take a majority of it; if they
 // counted different sets, each could reach a majority of its own. Until the machine interface has answered this leader, the previous leader's count
 // is used.
-func (c *session) instances(listed int) int {
+func (c *session) instanceCount(listed int) int {
 	n := 0
-	if c.machinesRead.IsZero() {
-		n = c.keptInstances
+	if c.machinesListedAt.IsZero() {
+		n = c.previousInstances
 	}
 	named := 0
 	for _, m := range c.machines {
@@ -79,58 +79,58 @@
 //
 // Only lives count that were listed when the store last confirmed the lead. A life that has ended since counts as unreachable: at the end of a network
 // partition the first thing that an isolated leader may learn is that another leader has ended lives.
-func (c *session) countProofs(now time.Time) {
+func (c *session) updateQuorum(now time.Time) {
 	if c.confirmed(now) {
-		clear(c.readUnsure)
+		clear(c.readUnconfirmed)
 		listed := 0
 		for _, w := range c.workers {
-			w.sure = w.listed
-			if w.sure {
+			w.listedAtConfirmation = w.listed
+			if w.listedAtConfirmation {
 				listed++
 			}
 		}
-		c.sure = c.instances(listed)
+		c.confirmedInstances = c.instanceCount(listed)
 	}
 	if now.Sub(c.ConfirmedAt()) >= quorumFrom { // otherwise the renewal proves more, and the last result remains valid
-		c.sortAsked()
+		c.computeQuorumTime()
 	}
 }
 
 // computeQuorumTime computes the quorum time: the latest time such that the workers of a majority of instances have answered calls sent at that time or later.
-func (c *session) sortAsked() {
-	asked := c.asked[:0]
+func (c *session) computeQuorumTime() {
+	asked := c.askTimes[:0]
 	for _, w := range c.workers {
-		if w.sure {
-			asked = append(asked, w.asked)
+		if w.listedAtConfirmation {
+			asked = append(asked, w.askedAt)
 		}
 	}
-	c.asked = asked
+	c.askTimes = asked
 	slices.SortFunc(asked, func(a, b time.Time) int { return b.Compare(a) })
 	var most time.Time
-	if half := c.sure / 2; half < len(asked) {
+	if half := c.confirmedInstances / 2; half < len(asked) {
 		most = asked[half] // more than half were called at this time or later
 	}
-	c.mostAsked.Store(&most)
+	c.majorityAskedAt.Store(&most)
 }
 
 // updateRaised records when half of the instances have this leader's token. From then on the earlier leader can no longer reach a majority.
-func (c *session) countRaised(now time.Time) {
-	if !c.raised.IsZero() {
+func (c *session) updateRaised(now time.Time) {
+	if !c.majorityFencedAt.IsZero() {
 		return
 	}
 	// The lives that the earlier leader stored count even if they are not listed. Entries of the list lapse while the store is unavailable, and a leader
 	// that took over at such a time would regard half of zero instances as sufficient.
-	instances := c.instances(len(c.lives))
-	now = c.exact(now)
+	instances := c.instanceCount(len(c.livesByMachine))
+	now = c.laterOf(now)
 	// This applies even before half of them have answered: if this leader is lost before that, the next one knows nothing about the leader before it.
 	if now.After(c.term.Renewed.Add(raisedWithin(instances))) {
 		c.assumeUnstored("half of the workers were not heard in time")
 	}
-	if 2*c.heard < instances || !c.earlierLivesHeard() {
+	if 2*c.answeredCount < instances || !c.earlierLivesHeard() {
 		return
 	}
-	c.raised = now
-	c.takeoverStep("fenced", now)
+	c.majorityFencedAt = now
+	c.reportTakeoverStep("fenced", now)
 }
 
 // earlierLivesHeard reports whether half of the lives that the earlier leader may have counted have this leader's token. Lives that started later are in none of
@@ -139,11 +139,11 @@
 func (c *session) earlierLivesHeard() bool {
 	lives, heard := 0, 0
 	for _, w := range c.workers {
-		if !w.before {
+		if !w.knownAtTakeover {
 			continue
 		}
 		lives++
-		if w.heard {
+		if w.answered {
 			heard++
 		}
 	}
@@ -166,36 +166,36 @@
 // A leader starts only jobs that it read while a renewal proved its lead, which ends lead.ConfirmedFor after the renewal was sent. The next term is taken only after
 // no renewal has been read for longer than that. So no earlier leader can have started a job that the store accepted after the term was
 // taken, and c.began is later than that.
-func (c *session) earlierRead(after time.Time) bool { return after.Before(c.began) }
+func (c *session) earlierRead(after time.Time) bool { return after.Before(c.startedAt) }
 
 // publishEarlier publishes what the next leader must know about the leaders before this one.
 func (c *session) publishEarlier(now time.Time) {
-	stopped, known := c.stoppedBy()
-	c.SetEarlier(!known || now.Before(stopped), c.coarse && !c.doubtOver(now))
+	stopped, known := c.earlierStoppedBy()
+	c.PublishEarlierLeaders(!known || now.Before(stopped), c.earlierUnstored && !c.earlierLeasesOver(now))
 }
 
 // assumeUnstored assumes from now on that the earlier leader may have started runs that are not stored.
 func (c *session) assumeUnstored(why string) {
-	if c.coarse || c.term.Clean {
+	if c.earlierUnstored || c.term.Clean {
 		return
 	}
-	c.coarse = true
+	c.earlierUnstored = true
 	c.emit(event.TablesRead, event.Subject{Entry: c.Entry}, "the earlier leader may have started what is not kept: %s", why)
 }
 
 // earlierStoppedBy returns the time by which the earlier leader has certainly given its last order to a worker, or false while that is unknown.
-func (c *session) stoppedBy() (time.Time, bool) {
+func (c *session) earlierStoppedBy() (time.Time, bool) {
 	if c.term.Alone {
-		return c.readAt, true
+		return c.tablesReadAt, true
 	}
-	if c.raised.IsZero() {
+	if c.majorityFencedAt.IsZero() {
 		return time.Time{}, false
 	}
-	return c.raised.Add(quorumValidFor), true
+	return c.majorityFencedAt.Add(quorumValidFor), true
 }
 
 // earlierLeasesOver reports whether every lease that an earlier leader may have granted has expired.
-func (c *session) doubtOver(now time.Time) bool {
-	stopped, known := c.stoppedBy()
-	return known && now.After(stopped.Add(work.Longest(c.Bounds().Lease)+doubtSlack))
+func (c *session) earlierLeasesOver(now time.Time) bool {
+	stopped, known := c.earlierStoppedBy()
+	return known && now.After(stopped.Add(work.MaxLocal(c.Bounds().Lease)+leaseSlack))
 }
--- a/pool/queuestats.go
+++ b/pool/queuestats.go
@@ -19,7 +19,7 @@
 )
 
 // queueStats holds statistics of one queue's runs. They correct the submitted estimates, which are far off, and are useful because tasks of one queue are alike.
-type lesson struct {
+type queueStats struct {
 	// runs is the number of observations.
 	runs int
 	// mean and spread are the mean and variance of the logarithm of run times in seconds; wrong is the mean squared error of the estimates' logarithms.
@@ -28,10 +28,10 @@
 	work float64
 }
 
-func (c *session) learned(queue string) *lesson {
+func (c *session) statsOf(queue string) *queueStats {
 	l := c.lessons[queue]
 	if l == nil {
-		l = &lesson{variance: initialVariance, estimateError: initialVariance}
+		l = &queueStats{variance: initialVariance, estimateError: initialVariance}
 		c.lessons[queue] = l
 	}
 	return l
@@ -39,13 +39,13 @@
 
 // recordRunTime adds the duration of a successful run to the statistics.
 func (c *session) recordRunTime(t *job.Task, now time.Time) {
-	took := now.Sub(t.Since).Seconds()
+	took := now.Sub(t.RunSince).Seconds()
 	if t.Spec().Lasting || took <= 0 || t.Saved != "" {
 		return
 	}
-	l := c.learned(t.Job.Spec.Queue)
+	l := c.statsOf(t.Job.Spec.Queue)
 	p := c.pool(c.queue(t.Job).Pool)
-	p.ran = p.meanRun() + statsWeight*(took-p.meanRun())
+	p.meanRunSeconds = p.expectedRunSeconds() + statsWeight*(took-p.expectedRunSeconds())
 	x := math.Log(took)
 	rate := max(statsWeight, 1/float64(l.runs+1))
 	l.runs++
@@ -59,12 +59,12 @@
 }
 
 // recordJobWork adds the work of a submitted job to the statistics.
-func (c *session) learnJob(j *job.Job) {
-	l := c.learned(j.Spec.Queue)
+func (c *session) recordJobWork(j *job.Job) {
+	l := c.statsOf(j.Spec.Queue)
 	w := c.jobWork(j, j.Spec.Queue)
 	p := c.pool(c.queue(j).Pool)
-	if !j.Beyond {
-		p.handed = append(p.handed, handed{at: c.now(), work: c.jobLoad(j)})
+	if !j.OverRate {
+		p.recentWork = append(p.recentWork, submission{at: c.now(), work: c.jobLoad(j)})
 	}
 	if l.work == 0 {
 		l.work = w
@@ -74,8 +74,8 @@
 
 // estimateRunTime estimates the run time of a task of the step: a weighted geometric mean of the submitted estimate and the queue's mean run time. The more accurate
 // the queue's estimates have been, the more weight the submitted one has.
-func (c *session) runTime(s *job.Step, queue string) time.Duration {
-	l := c.learned(queue)
+func (c *session) estimateRunTime(s *job.Step, queue string) time.Duration {
+	l := c.statsOf(queue)
 	e := s.Estimate.Duration().Seconds()
 	switch {
 	case l.runs == 0:
@@ -88,17 +88,17 @@
 }
 
 // criticalPath returns the length of the critical path of a job's steps at one of its times, the part of it that is left, and the core-seconds of work left.
-func (c *session) chains(j *job.Job, k int, queue string) (whole, left time.Duration, work float64) {
+func (c *session) criticalPath(j *job.Job, k int, queue string) (whole, left time.Duration, work float64) {
 	var ends, lefts [job.MaxSteps]time.Duration
 	for i := range j.Spec.Steps {
 		s := &j.Spec.Steps[i]
-		d := c.runTime(s, queue)
+		d := c.estimateRunTime(s, queue)
 		var from, leftFrom time.Duration
 		for _, a := range s.After {
 			from, leftFrom = max(from, ends[a]), max(leftFrom, lefts[a])
 		}
 		ends[i], lefts[i] = from+d, leftFrom
-		if n := j.StepLeft(k, i); n > 0 {
+		if n := j.StepUnfinished(k, i); n > 0 {
 			lefts[i] += d
 			work += float64(n) * d.Seconds() * float64(s.Need.MilliCPU) / 1000
 		}
@@ -112,7 +112,7 @@
 	work := 0.0
 	for i := range j.Spec.Steps {
 		s := &j.Spec.Steps[i]
-		work += float64(s.Count) * c.runTime(s, queue).Seconds() * float64(s.Need.MilliCPU) / 1000
+		work += float64(s.Count) * c.estimateRunTime(s, queue).Seconds() * float64(s.Need.MilliCPU) / 1000
 	}
 	return work
 }
@@ -123,7 +123,7 @@
 	for i := range j.Spec.Steps {
 		s := &j.Spec.Steps[i]
 		if !s.Lasting {
-			sum += float64(s.Count) * c.runTime(s, j.Spec.Queue).Seconds() * share(place.Charge(s), c.whole)
+			sum += float64(s.Count) * c.estimateRunTime(s, j.Spec.Queue).Seconds() * instanceShare(place.Charge(s), c.meanCapacity)
 		}
 	}
 	return sum
--- a/pool/recordsize_test.go
+++ b/pool/recordsize_test.go
@@ -37,7 +37,7 @@
 // fullFixture is a leader of twice the largest fleet whose store has the limits of the users' store. It records the
 // size of the largest record of each kind.
 type fullFixture struct {
-	*bench
+	*fixture
 	largest map[string]int
 	calls   int
 	batch   int
@@ -45,9 +45,9 @@
 }
 
 func newFullFixture(c *quicktest.C) *fullFixture {
-	b := newBench(c, nil)
-	x := &fullFixture{bench: b, largest: make(map[string]int), state: make(map[string][]byte)}
-	b.RecordMost, b.writer.RecordMost = recordBytes, recordBytes
+	b := newFixture(c, nil)
+	x := &fullFixture{fixture: b, largest: make(map[string]int), state: make(map[string][]byte)}
+	b.MaxRecordBytes, b.writer.RecordMost = recordBytes, recordBytes
 	b.PutWave = func(context.Context, int64, bool) error { return nil }
 	b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) {
 		x.calls++
@@ -76,7 +76,7 @@
 	for range 200 {
 		x.commit()
 		synctest.Wait()
-		messages := x.inbox.take()
+		messages := x.inbox.takeAll()
 		if len(messages) == 0 && !x.committing {
 			return
 		}
@@ -91,13 +91,13 @@
 func (x *fullFixture) fill() {
 	for i := range testWorkers {
 		id := fmt.Sprintf("i-%010d", i)
-		x.machines[x.listWorker(id, []byte(addressExample)).Machine] = Machine{Name: "m-" + id, Pool: "p", ID: id}
+		x.machines[x.applyWorkerRecord(id, []byte(addressExample)).Machine] = Machine{Name: "m-" + id, Pool: "p", ID: id}
 	}
 	for i := range testQueues {
 		q := fmt.Sprintf("r-%07d", i)
-		x.learned(q).runs = 1
-		x.pool(fmt.Sprintf("pool-%04d", i)).ran = 1.5
-		x.turns.See(fmt.Sprintf("pool-%04d", i), upkeep.Load{Need: 1, Used: 1, Have: 1}, x.now())
+		x.statsOf(q).runs = 1
+		x.pool(fmt.Sprintf("pool-%04d", i)).meanRunSeconds = 1.5
+		x.turns.Observe(fmt.Sprintf("pool-%04d", i), upkeep.Load{Need: 1, Used: 1, Have: 1}, x.now())
 	}
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: testStepTasks, Need: job.Need{MilliCPU: 1}}}}, x.now())
 	x.jobs[j.Spec.ID] = j
@@ -108,7 +108,7 @@
 		}
 		t := &j.Tasks[i]
 		t.Saved = strings.Repeat("0", testSavedBytes)
-		x.start(w, t, &run{number: int64(i + 1)}, x.now())
+		x.planStart(w, t, &run{number: int64(i + 1)}, x.now())
 		x.loseRun(t, w)
 		i++
 	}
@@ -119,15 +119,15 @@
 			break
 		}
 		wave.Machines = append(wave.Machines, name)
-		wave.begin(name)
+		wave.markBegun(name)
 	}
 }
 
 // loseRun records a run that was lost with its worker's life.
 func (x *fullFixture) loseRun(t *job.Task, w *worker) {
-	t.Job.Lose(t, job.LostRun{Run: t.Run, Life: w.Life, Suspects: 3})
+	t.Job.RecordLost(t, job.LostRun{Run: t.Run, Life: w.Life, Suspects: 3})
 	t.Job.Version++
-	x.dirty.Add(t.Job.Spec.ID, t.Job)
+	x.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
 }
 
 // TestEveryKindOfRecordFitsAtTwiceTheLargestFleet compares the largest record of each kind that a leader stores with
@@ -146,7 +146,7 @@
 		for _, kind := range []string{"s", "l", "w", "wave", "lessons", "instances"} {
 			x.c.Check(x.largest[kind] > 0, quicktest.IsTrue, quicktest.Commentf("no record of kind %s was stored", kind))
 		}
-		x.c.Check(x.workersKept, quicktest.HasLen, testWorkers)
+		x.c.Check(x.storedLives, quicktest.HasLen, testWorkers)
 	})
 }
 
@@ -156,12 +156,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := newFullFixture(quicktest.New(t))
 		for _, id := range []string{"w1", "w2", "w3"} {
-			x.listWorker(id, []byte{1})
+			x.applyWorkerRecord(id, []byte{1})
 		}
-		x.c.Assert(x.workersKept, quicktest.HasLen, 0)
+		x.c.Assert(x.storedLives, quicktest.HasLen, 0)
 		x.commitAll()
-		x.c.Assert(x.workersKept, quicktest.HasLen, 3)
-		x.leaveOut(x.workers["w2"], "it has left")
+		x.c.Assert(x.storedLives, quicktest.HasLen, 3)
+		x.removeLife(x.workers["w2"], "it has left")
 		before := x.calls
 		x.commitAll()
 		x.c.Assert(x.calls, quicktest.Equals, before+1)
@@ -172,12 +172,12 @@
 				page.Records = append(page.Records, feed.KeyedRecord{Key: key, Value: value})
 			}
 		}
-		next := newBench(x.c, nil)
-		next.workersKept = make(map[string]bool)
-		next.take(page, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		next := newFixture(x.c, nil)
+		next.storedLives = make(map[string]bool)
+		next.fillTables(page, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		x.c.Assert(next.workers, quicktest.HasLen, 2)
-		x.c.Assert(next.unheard, quicktest.HasLen, 2)
-		x.c.Assert(next.livesDirty.Empty(), quicktest.IsTrue)
+		x.c.Assert(next.uncertainLives, quicktest.HasLen, 2)
+		x.c.Assert(next.dirtyLives.Empty(), quicktest.IsTrue)
 	})
 }
 
@@ -185,8 +185,8 @@
 func TestTheOneRecordOfEarlierVersionsIsTakenApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newFullFixture(quicktest.New(t))
-		x.workersKept = make(map[string]bool)
-		x.take(feed.KeyedPage{Records: []feed.KeyedRecord{record(x.c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}, {Life: "w2", Machine: "m-w2", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		x.storedLives = make(map[string]bool)
+		x.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(x.c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}, {Life: "w2", Machine: "m-w2", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		x.commitAll()
 		value, dropped := x.state[workersKey]
 		x.c.Assert(dropped && len(value) == 0, quicktest.IsTrue)
@@ -200,7 +200,7 @@
 func TestARecordThatIsRefusedCostsItsJobAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2")
+		b := newFixture(c, nil, "w1", "w2")
 		kept := make(map[string][]byte)
 		rejecting := true
 		b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) {
@@ -218,24 +218,24 @@
 			for range 20 {
 				b.commit()
 				synctest.Wait()
-				for _, m := range b.inbox.take() {
+				for _, m := range b.inbox.takeAll() {
 					m.apply(b.session)
 				}
 			}
 		}
 		for _, id := range []string{"00000000000000a1", "00000000000000a2"} {
 			s := &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Need: job.Need{MilliCPU: 1000}}}}
-			b.openJob(b.readIntake(0, record(c, job.OwnedBy("", id).HandedInKey(), s), b.now()), b.now())
+			b.openJob(b.readIntake(0, record(c, job.Qualify("", id).SubmissionKey(), s), b.now()), b.now())
 		}
-		b.reports("w1", 10, nil)
-		b.reports("w2", 10, nil)
-		c.Assert(b.ordered(), quicktest.Equals, 2)
+		b.report("w1", 10, nil)
+		b.report("w2", 10, nil)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 2)
 		commit()
 		c.Assert(kept[stateKey+"00000000000000a2"], quicktest.Not(quicktest.HasLen), 0)
 		c.Assert(b.jobs["00000000000000a2"].Tasks[0].Phase, quicktest.Equals, job.Starting)
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
-		c.Assert(b.is(modeAside), quicktest.IsTrue)
-		c.Assert(b.ordered(), quicktest.Equals, 0, quicktest.Commentf("a job that can't be stored must not start"))
+		c.Assert(b.inMode(modeAside), quicktest.IsTrue)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("a job that can't be stored must not start"))
 		reported := 0
 		for _, e := range b.Events.Since(0) {
 			if e.Number == event.RecordRefused {
@@ -245,11 +245,11 @@
 		c.Assert(reported, quicktest.Equals, 1)
 
 		rejecting = false
-		b.changed(b.jobs["00000000000000a1"]) // its record has become smaller
+		b.jobChanged(b.jobs["00000000000000a1"]) // its record has become smaller
 		commit()
-		b.watchModes(time.Now())
-		c.Assert(b.is(modeAside), quicktest.IsFalse)
-		c.Assert(b.ordered(), quicktest.Equals, 1)
+		b.updateModes(time.Now())
+		c.Assert(b.inMode(modeAside), quicktest.IsFalse)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 	})
 }
 
@@ -257,7 +257,7 @@
 func TestAStoreThatIsAwayIsNotARefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1")
+		b := newFixture(c, nil, "w1")
 		var unavailable atomic.Bool
 		unavailable.Store(true)
 		b.State.Append = func(context.Context, feed.Batch) (int64, error) {
@@ -266,13 +266,13 @@
 			}
 			return 1, nil
 		}
-		b.lifeChanged("w1")
+		b.markLifeDirty("w1")
 		b.commit()
 		time.Sleep(3 * time.Second)
 		c.Assert(b.committing, quicktest.IsTrue)
 		unavailable.Store(false)
 		time.Sleep(time.Second)
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
 		c.Assert(b.committing, quicktest.IsFalse)
@@ -283,10 +283,10 @@
 // TestTheModeOfRecordsAsideEndsWithTheirJobs removes the life whose record is aside.
 func TestTheModeOfRecordsAsideEndsWithTheirJobs(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil, "w1")
-	b.setAside(&commitEnded{aside: []keep.Aside{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
-	c.Assert(b.is(modeAside), quicktest.IsTrue)
-	b.leaveOut(b.workers["w1"], "it has left")
-	b.watchModes(time.Now())
-	c.Assert(b.is(modeAside), quicktest.IsFalse)
+	b := newFixture(c, nil, "w1")
+	b.setAside(&commitBatch{aside: []keep.Aside{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
+	c.Assert(b.inMode(modeAside), quicktest.IsTrue)
+	b.removeLife(b.workers["w1"], "it has left")
+	b.updateModes(time.Now())
+	c.Assert(b.inMode(modeAside), quicktest.IsFalse)
 }
--- a/pool/report.go
+++ b/pool/report.go
@@ -25,7 +25,7 @@
 	fullPercent = 100
 )
 
-func (m holdEnded) apply(c *session) {
+func (m holdResult) apply(c *session) {
 	w := m.worker
 	if c.workers[w.Life] != w {
 		return
@@ -35,24 +35,24 @@
 	case m.err != nil:
 		c.markSilent(w, m.err, m.failedAt, now)
 	case m.report.Refusal == work.OtherLife:
-		c.strangerAnswered(w, m.report.Answer)
+		c.otherLifeAnswered(w, m.report.Answer)
 	case m.report.Refusal == work.Fenced:
 		c.tokenRefused(w, m.token)
-	case m.report.Refusal != work.Done:
-		w.asked = m.asked
+	case m.report.Refusal != work.Accepted:
+		w.askedAt = m.asked
 	default:
 		c.applyHoldAnswer(w, m, now)
 	}
 }
 
 // applyHoldAnswer applies the answer to a hold. A report is ignored if the worker's token was raised after the hold was sent.
-func (c *session) applyHoldAnswer(w *worker, m holdEnded, now time.Time) {
-	w.asked = m.asked
-	c.endLivesBefore(w)
-	if m.token < w.needs.Load() {
+func (c *session) applyHoldAnswer(w *worker, m holdResult, now time.Time) {
+	w.askedAt = m.asked
+	c.endEarlierLives(w)
+	if m.token < w.requiredToken.Load() {
 		return
 	}
-	w.told = m.asOf(now)
+	w.reportedAt = m.asOf(now)
 	c.applyReport(w, m.report, now)
 }
 
@@ -61,24 +61,24 @@
 		return
 	}
 	w.silentSince = now
-	w.brokeAt = at
+	w.callFailedAt = at
 	if w.hasPendingStarts(now) {
 		c.silentPending.Add(1)
-		c.raise(w) // the next life to answer must see a token above those of pending starts
+		c.raiseToken(w) // the next life to answer must see a token above those of pending starts
 	}
-	c.emit(event.WorkerSilent, event.Subject{Instance: w.Life}, "machine=%s runs=%d leased=%v err=%q", w.Machine, len(w.runs), w.leasedFor(now), err)
+	c.emit(event.WorkerSilent, event.Subject{Instance: w.Life}, "machine=%s runs=%d leased=%v err=%q", w.Machine, len(w.runs), w.remainingLease(now), err)
 }
 
 // applyReport applies a worker's report of running and ended runs.
 func (c *session) applyReport(w *worker, rep work.Report, now time.Time) {
 	if !w.silentSince.IsZero() {
-		c.emit(event.WorkerSilent, event.Subject{Instance: w.Life}, "answers again after %v runs=%d leased=%v", now.Sub(w.silentSince).Round(time.Millisecond), len(w.runs), w.leasedFor(now))
+		c.emit(event.WorkerSilent, event.Subject{Instance: w.Life}, "answers again after %v runs=%d leased=%v", now.Sub(w.silentSince).Round(time.Millisecond), len(w.runs), w.remainingLease(now))
 		w.silentSince = time.Time{}
-		c.dirtyPool(w.Pool)
+		c.markPoolDirty(w.Pool)
 	}
-	slices.SortFunc(rep.Ended, func(a, b work.End) int { return cmp.Compare(a.N, b.N) })
+	slices.SortFunc(rep.Ended, func(a, b work.EndedRun) int { return cmp.Compare(a.Seq, b.Seq) })
 	for _, e := range rep.Ended {
-		if e.N <= w.processed {
+		if e.Seq <= w.lastProcessedEnd {
 			continue
 		}
 		if c.mayBeUnread(e.Task, now) {
@@ -86,12 +86,12 @@
 		}
 		ackAfter := c.ackAfter(w, e, now)
 		c.endRun(w, e, now)
-		w.processed = e.N
-		w.ends = append(w.ends, c.unkeptEnd(e, ackAfter))
+		w.lastProcessedEnd = e.Seq
+		w.unackedEnds = append(w.unackedEnds, c.unstoredEnd(e, ackAfter))
 	}
 	c.ackStored(w)
-	w.unread, w.unknown = 0, 0
-	var besides []beside
+	w.unreadRuns, w.unknownRuns = 0, 0
+	var besides []supersededRun
 	listed := make(map[*job.Task]int64, len(rep.Running))
 	for _, row := range rep.Running {
 		t := c.applyRunning(w, row, rep.Clock, now)
@@ -99,39 +99,39 @@
 		case t != nil:
 			listed[t] = row.Run
 		case known == nil:
-			w.unknown++
+			w.unknownRuns++
 		case w.runs[known] == nil || w.runs[known].number != row.Run:
-			besides = append(besides, beside{organisation: known.Job.Spec.Organisation, step: known.Spec()})
+			besides = append(besides, supersededRun{organisation: known.Job.Spec.Organisation, step: known.Spec()})
 		}
 	}
-	w.setBesides(besides)
+	w.setSupersededRuns(besides)
 	for t, r := range w.runs {
 		if listed[t] != r.number {
 			c.resolveMissing(w, t, r, rep)
 		}
 	}
 	c.paceFills(w, now)
-	if w.heard {
+	if w.answered {
 		return
 	}
-	w.heard = true
-	c.heard++
-	if stopped, known := c.stoppedBy(); w.before || !known || !w.since.After(stopped) || w.needs.Load() > 0 {
-		w.bound(now.Add(work.Longest(c.leasedBefore(w)))) // an earlier leader, or a late call to the previous life, may have extended a lease for that long just before
+	w.answered = true
+	c.answeredCount++
+	if stopped, known := c.earlierStoppedBy(); w.knownAtTakeover || !known || !w.listedSince.After(stopped) || w.requiredToken.Load() > 0 {
+		w.boundLease(now.Add(work.MaxLocal(c.earlierLeaseOf(w)))) // an earlier leader, or a late call to the previous life, may have extended a lease for that long just before
 	}
-	c.countRaised(now)
+	c.updateRaised(now)
 	c.endPreviousLives(w)
-	c.dirtyPool(w.Pool) // also for jobs of an earlier leader that waited for this worker
-	delete(c.unheard, w.Life)
+	c.markPoolDirty(w.Pool) // also for jobs of an earlier leader that waited for this worker
+	delete(c.uncertainLives, w.Life)
 }
 
 // unstoredEnd returns what must be stored before the worker may forget the end.
-func (c *session) unkeptEnd(e work.End, ackAfter time.Time) unkeptEnd {
+func (c *session) unstoredEnd(e work.EndedRun, ackAfter time.Time) unstoredEnd {
 	t := c.task(e.Task)
 	if t == nil {
-		return unkeptEnd{n: e.N}
+		return unstoredEnd{n: e.Seq}
 	}
-	return unkeptEnd{n: e.N, job: t.Job, version: t.Job.Version, ackAfter: ackAfter}
+	return unstoredEnd{n: e.Seq, job: t.Job, version: t.Job.Version, ackAfter: ackAfter}
 }
 
 // task returns the task with the given name, or nil if it is unknown.
@@ -147,14 +147,14 @@
 // of such a task must not be acknowledged.
 func (c *session) mayBeUnread(name string, now time.Time) bool {
 	if c.task(name) != nil {
-		delete(c.unread, name)
+		delete(c.unknownTasks, name)
 		return false
 	}
-	if c.unread[name].IsZero() {
-		c.unread[name] = now
+	if c.unknownTasks[name].IsZero() {
+		c.unknownTasks[name] = now
 	}
-	for _, read := range c.fresh {
-		if !read.After(c.unread[name]) {
+	for _, read := range c.intakeReadUntil {
+		if !read.After(c.unknownTasks[name]) {
 			return true
 		}
 	}
@@ -162,32 +162,32 @@
 }
 
 // applyRunning applies a run that a worker lists as running. It returns the task if this is the task's latest run.
-func (c *session) applyRunning(w *worker, row work.Row, clock work.Clock, now time.Time) *job.Task {
+func (c *session) applyRunning(w *worker, row work.RunStatus, clock work.Clock, now time.Time) *job.Task {
 	t := c.task(row.Task)
 	switch {
 	case t == nil && c.mayBeUnread(row.Task, now):
-		w.unread++
+		w.unreadRuns++
 		return nil
 	case t == nil:
-		c.stopRun(w, row.Task, row.Run, "no such job")
+		c.stopStray(w, row.Task, row.Run, "no such job")
 		return nil
 	}
 	r := w.runs[t]
 	if r == nil || r.number != row.Run {
 		c.dropSuperseded(t, row.Run)
 		if w.runs[t] != nil || !c.adopt(w, t, row, clock) {
-			c.stopRun(w, row.Task, row.Run, "not the task's run")
+			c.stopStray(w, row.Task, row.Run, "not the task's run")
 			return nil
 		}
 		r = w.runs[t]
 	}
-	c.confirm(w, t, r, clock)
+	c.confirmRun(w, t, r, clock)
 	if row.Saved != "" {
 		t.Saved = row.Saved
 	}
 	t.Percent, t.Gauge = row.Percent, row.Gauge
 	if t.Spec().Lasting && row.Percent >= fullPercent && !t.AtWork {
-		t.AtWork, t.Gone = true, time.Time{}
+		t.AtWork, t.DownSince = true, time.Time{}
 	}
 	if t.Job.State.Ended() && !r.stopSent {
 		c.stopTask(w, t, "its job has ended")
@@ -198,22 +198,22 @@
 // dropSuperseded drops the stored run of a task when a worker lists a run with a higher number: the stored one must have ended before that.
 func (c *session) dropSuperseded(t *job.Task, number int64) {
 	w := c.workers[t.Worker]
-	if w == nil || w.runs[t] == nil || !w.runs[t].earlier || number <= t.Run {
+	if w == nil || w.runs[t] == nil || !w.runs[t].fromEarlierLeader || number <= t.Run {
 		return
 	}
-	w.drop(t)
+	w.dropRun(t)
 	t.Phase, t.Worker = job.Waiting, ""
 }
 
 // adopt records a run that an earlier leader started.
-func (c *session) adopt(w *worker, t *job.Task, row work.Row, clock work.Clock) bool {
+func (c *session) adopt(w *worker, t *job.Task, row work.RunStatus, clock work.Clock) bool {
 	if t.Phase != job.Waiting || t.Job.State.Ended() {
 		return false
 	}
-	t.Phase, t.Run, t.Worker, t.Since = job.Active, row.Run, w.Life, c.now()
+	t.Phase, t.Run, t.Worker, t.RunSince = job.Active, row.Run, w.Life, c.now()
 	t.Job.Began = true
 	t.Job.Version++
-	c.dirty.Add(t.Job.Spec.ID, t.Job)
+	c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
 	c.addRun(w, t, &run{number: row.Run, confirmed: clock, pace: fullPercent, sent: true})
 	if row.Run>>runBits < c.term.Number {
 		c.assumeUnstored("a worker runs what was not kept")
@@ -223,18 +223,18 @@
 }
 
 // confirmRun records that the worker has the run.
-func (c *session) confirm(w *worker, t *job.Task, r *run, clock work.Clock) {
+func (c *session) confirmRun(w *worker, t *job.Task, r *run, clock work.Clock) {
 	r.confirmed = max(r.confirmed, clock)
 	switch {
-	case r.handedOn:
+	case r.carriedOver:
 		c.clearLate(t) // the life has answered under a token above those of all attempts
-		if !r.confirmedBefore {
+		if !r.confirmedEarlier {
 			c.retractLostRun(t, r.number) // the previous life has ended without having the run
 		}
 	case r.unanswered:
 		c.attemptCarriedOut(t, r)
 	}
-	r.unanswered, r.earlier, r.handedOn, r.sent = false, false, false, true
+	r.unanswered, r.fromEarlierLeader, r.carriedOver, r.sent = false, false, false, true
 	if t.Phase == job.Starting {
 		t.Phase = job.Active
 	}
@@ -250,10 +250,10 @@
 	case w.mustResendHandedOn(t, r, c.now()):
 		r.markForResend()
 		return
-	case r.handedOn:
+	case r.carriedOver:
 		c.clearLate(t)
 		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d of the life before is not there", r.number)
-	case r.earlier:
+	case r.fromEarlierLeader:
 		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d of an earlier leader is not there", r.number)
 	case w.pinned(t, r, c.now()):
 		return
@@ -264,14 +264,14 @@
 	default:
 		return
 	}
-	w.drop(t)
+	w.dropRun(t)
 	if t.Run == r.number {
 		c.requeue(t)
 	}
 }
 
 // endRun applies the end of a run.
-func (c *session) endRun(w *worker, e work.End, now time.Time) {
+func (c *session) endRun(w *worker, e work.EndedRun, now time.Time) {
 	t := c.task(e.Task)
 	if t == nil {
 		return
@@ -279,19 +279,19 @@
 	j := t.Job
 	current := false
 	if r := w.runs[t]; r != nil && r.number == e.Run {
-		w.drop(t)
+		w.dropRun(t)
 		current = t.Run == e.Run && t.Phase != job.Finished
 	}
-	c.dirtyPool(w.Pool)
-	c.emit(event.RunEnded, event.Subject{Job: e.Task, Instance: w.Life}, "run=%d how=%v n=%d", e.Run, e.How, e.N)
+	c.markPoolDirty(w.Pool)
+	c.emit(event.RunEnded, event.Subject{Job: e.Task, Instance: w.Life}, "run=%d how=%v n=%d", e.Run, e.Outcome, e.Seq)
 	if e.Saved != "" {
 		t.Saved = e.Saved
 	}
-	c.counts.ended(e.How.String())
-	if current && e.How != work.Succeeded && !t.Spec().Lasting && t.Saved == "" {
-		c.counts.wasted(e.How.String(), now.Sub(t.Since).Seconds()*float64(t.Spec().Need.MilliCPU)/1000)
+	c.counts.ended(e.Outcome.String())
+	if current && e.Outcome != work.Succeeded && !t.Spec().Lasting && t.Saved == "" {
+		c.counts.wasted(e.Outcome.String(), now.Sub(t.RunSince).Seconds()*float64(t.Spec().Need.MilliCPU)/1000)
 	}
-	switch e.How {
+	switch e.Outcome {
 	case work.Succeeded:
 		w.failures = 0
 		if current {
@@ -302,12 +302,12 @@
 		c.failTask(w, t, e, now)
 	case work.Other: // neither the task nor the worker is at fault, so only the back-off limits restarts
 		t.Failures++
-		t.NotBefore = now.Add(backOff(t.Failures, failureBackoff))
+		t.NotBefore = now.Add(backoff(t.Failures, failureBackoff))
 	}
 	if current && t.Phase != job.Finished {
 		c.requeue(t)
 	}
-	c.changed(j)
+	c.jobChanged(j)
 }
 
 // completeTask records the success of a task. A gang succeeds as a whole.
@@ -329,40 +329,40 @@
 		}
 		j.Done(m, now)
 	}
-	if j.StepLeft(t.Time, t.Step) == 0 && !j.State.Ended() {
-		c.openTime(j, t.Time, now)
+	if j.StepUnfinished(t.Time, t.Step) == 0 && !j.State.Ended() {
+		c.openOccurrence(j, t.Time, now)
 	}
 }
 
 // endOtherRun ends another run of a completed task. The members of a gang end by themselves.
 func (c *session) endOtherRun(w *worker, t *job.Task) {
 	if t.Spec().Gang {
-		w.drop(t)
+		w.dropRun(t)
 		return
 	}
 	c.stopTask(w, t, "the task is done")
 }
 
 // failTask records the failure of a run, for its task and for its worker.
-func (c *session) failTask(w *worker, t *job.Task, e work.End, now time.Time) {
+func (c *session) failTask(w *worker, t *job.Task, e work.EndedRun, now time.Time) {
 	news := t.Job.Fail(t, e.Run, c.queue(t.Job).Attempts, now)
 	t.Avoid = w.Life
 	if t.Spec().Lasting {
-		if now.Sub(t.Since) > earlyFailure {
+		if now.Sub(t.RunSince) > earlyFailure {
 			t.Failures = 0
 		}
 		t.Failures++
-		t.NotBefore = now.Add(backOff(t.Failures, failureBackoff))
+		t.NotBefore = now.Add(backoff(t.Failures, failureBackoff))
 	}
 	if !news && !t.Spec().Lasting {
 		return
 	}
 	w.failures++
 	if w.failures >= quarantineAfter {
-		w.rest(now)
-		c.emit(event.WorkerQuarantined, event.Subject{Instance: w.Life}, "failures=%d rests until %v", w.failures, w.restUntil.Sub(now))
+		w.pauseStarts(now)
+		c.emit(event.WorkerQuarantined, event.Subject{Instance: w.Life}, "failures=%d rests until %v", w.failures, w.startsPausedUntil.Sub(now))
 	}
 	if t.Job.State.Ended() {
-		c.stopAll(t.Job, "the job has failed")
+		c.stopJob(t.Job, "the job has failed")
 	}
 }
--- a/pool/scan.go
+++ b/pool/scan.go
@@ -9,10 +9,12 @@
 const scanPauseFactor = 9
 
 // scanPacer spaces scans over all instances. With its zero value a scan is due.
-type walk struct{ next time.Time }
+type scanPacer struct{ next time.Time }
 
 // due reports whether the next scan may begin.
-func (x *walk) due(now time.Time) bool { return !now.Before(x.next) }
+func (x *scanPacer) due(now time.Time) bool { return !now.Before(x.next) }
 
 // end records the begin and the end of a scan.
-func (x *walk) end(began, ended time.Time) { x.next = ended.Add(scanPauseFactor * ended.Sub(began)) }
+func (x *scanPacer) end(began, ended time.Time) {
+	x.next = ended.Add(scanPauseFactor * ended.Sub(began))
+}
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -34,10 +34,10 @@
 	// Upkeep and Move are how long an instance is unavailable during each.
 	Upkeep, Move time.Duration
 	// MaxAbsence is how long a lasting task may be down before it counts as missed.
-	Notice time.Duration
+	MaxAbsence time.Duration
 	// MaxOverTarget is how long a serving task may exceed its latency target because of filling tasks on the same
 	// worker.
-	Harm time.Duration
+	MaxOverTarget time.Duration
 }
 
 // Wave is a request for maintenance of a set of instances.
@@ -45,8 +45,8 @@
 	Number   int64
 	Machines []string
 	// Within is the time in which all upkeeps must begin; MaxAway is how many instances may be unavailable at once.
-	Within time.Duration
-	Most   int
+	Within  time.Duration
+	MaxAway int
 }
 
 // MachineState is the state of an instance according to the machine interface.
@@ -86,10 +86,10 @@
 
 // Errors of the machine interface.
 var (
-	ErrTooMany = errors.New("the machine interface refused the call because of its rate limit, nothing was done; retry in a moment")
-	ErrBusy    = errors.New("instance is not up; retry when it is")
-	ErrFenced  = errors.New("another leader has used a higher fencing token")
-	ErrWave    = errors.New("instance is unknown or not part of the wave")
+	ErrTooMany   = errors.New("the machine interface refused the call because of its rate limit, nothing was done; retry in a moment")
+	ErrBusy      = errors.New("instance is not up; retry when it is")
+	ErrFenced    = errors.New("another leader has used a higher fencing token")
+	ErrNotInWave = errors.New("instance is unknown or not part of the wave")
 )
 
 // Ticket permits one life of a worker to run a step.
@@ -119,10 +119,10 @@
 	PutWave func(ctx context.Context, wave int64, done bool) error
 	Events  *event.Ring
 	// MaxBatchBytes limits the size of a batch appended to State. The default is batchMost.
-	BatchMost int
+	MaxBatchBytes int
 	// MaxRecordBytes limits the size of a record of State, including its key. Longer records are set aside. 0 means
 	// no limit.
-	RecordMost int
+	MaxRecordBytes int
 	// Processor is the entry's share of a core. It determines how often workers without work are polled; 0 means no
 	// limit.
 	Processor float64
@@ -144,11 +144,11 @@
 	CPUWait func() time.Duration
 	// PublishEarlierLeaders publishes whether a leader before this one may still give orders, and whether one may
 	// have ordered runs that it could not store.
-	SetEarlier func(open, coarse bool)
+	PublishEarlierLeaders func(open, coarse bool)
 	// AnnounceUnstoredOrders publishes that this leader may order runs that it can't store. UnstoredOrdersAnnounced
 	// reports whether the next leader is certain to read that.
-	SetLoose  func(loose bool)
-	LooseKept func() bool
+	AnnounceUnstoredOrders  func(loose bool)
+	UnstoredOrdersAnnounced func() bool
 
 	catalog atomic.Pointer[job.Catalog]
 	// organisations belongs to the same configuration version as catalog.
@@ -201,15 +201,15 @@
 	}
 	s.waves[w.Number] = w
 	if s.current != nil {
-		s.current.post(waveRead{w})
+		s.current.post(waveRequested{w})
 	}
 }
 
 // ErrNotLeading means that this entry can't answer, because it is not the leader or has not read its tables yet.
-var ErrNotLeading = errors.New("this entry is not the leader or is still loading its tables; retry in a moment")
+var ErrNotLeading = errors.New("this entry does not schedule now; ask again in a moment")
 
 // Ask returns the state of a job, or the number of pending jobs of a queue.
-func (s *Scheduler) Ask(ctx context.Context, q job.Question) (job.Answer, error) {
+func (s *Scheduler) Ask(ctx context.Context, q job.Query) (job.Answer, error) {
 	s.mu.Lock()
 	c := s.current
 	s.mu.Unlock()
@@ -217,21 +217,21 @@
 		return job.Answer{}, ErrNotLeading
 	}
 	reply := make(chan job.Answer, 1)
-	c.post(jobQuestion{Question: q, reply: reply})
+	c.post(jobQuestion{Query: q, reply: reply})
 	select {
 	case a := <-reply:
 		return a, nil
 	case <-c.ended:
 		return job.Answer{}, ErrNotLeading
 	case <-ctx.Done():
-		return job.Answer{}, fmt.Errorf("wait for the scheduler's answer: %w", ctx.Err())
+		return job.Answer{}, fmt.Errorf("ask the scheduler: %w", ctx.Err())
 	}
 }
 
 // setCurrent makes c the session that receives changes of the operator's configuration. It also posts the changes
 // that arrived while the session read its tables and that no session received; otherwise the leader would use the old
 // configuration for its whole term.
-func (s *Scheduler) lead(c *session) {
+func (s *Scheduler) setCurrent(c *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.current = c
@@ -245,7 +245,7 @@
 		c.post(drainsChanged{s.drained})
 	}
 	for _, w := range s.waves {
-		c.post(waveRead{w})
+		c.post(waveRequested{w})
 	}
 }
 
@@ -257,13 +257,13 @@
 	c := newSession(s, t)
 	defer close(c.ended)
 	ctx, cancel := context.WithCancel(ctx)
-	defer c.work.Wait()
+	defer c.background.Wait()
 	defer cancel()
 	c.ctx = ctx // loading may stop runs of cancelled jobs
 	if err := c.load(ctx); err != nil {
 		return // the context has ended
 	}
-	s.lead(c)
+	s.setCurrent(c)
 	c.run(ctx)
 	s.mu.Lock()
 	s.current = nil
--- a/pool/scheduler_bench_test.go
+++ b/pool/scheduler_bench_test.go
@@ -20,10 +20,10 @@
 // benchLeader is a leader's control goroutine whose calls are answered at once, so that only the cost of its decisions is
 // measured.
 type benchLeader struct {
-	*bench
+	*fixture
 	jobs           int
 	clock          work.Clock
-	unreportedEnds map[*worker][]work.End
+	unreportedEnds map[*worker][]work.EndedRun
 	lastEndNumbers map[*worker]int64
 	// organisations is how many organisations submit the jobs, in rotation. When it is 0, jobs belong to no organisation.
 	organisations int
@@ -36,19 +36,19 @@
 	for i := range workers {
 		lives = append(lives, fmt.Sprint("w", i))
 	}
-	t := &benchLeader{bench: newBench(c, nil, lives...), clock: 10, unreportedEnds: make(map[*worker][]work.End), lastEndNumbers: make(map[*worker]int64)}
+	t := &benchLeader{fixture: newFixture(c, nil, lives...), clock: 10, unreportedEnds: make(map[*worker][]work.EndedRun), lastEndNumbers: make(map[*worker]int64)}
 	t.ParseWorker = nil
 	for _, w := range t.workers {
 		w.Pool = "p"
-		w.Room = job.Need{MilliCPU: 16000, MemoryMB: 64000}
-		w.room.Free = w.Room
+		w.Capacity = job.Need{MilliCPU: 16000, MemoryMB: 64000}
+		w.room.Free = w.Capacity
 	}
 	t.State.Append = func(context.Context, feed.Batch) (int64, error) { return 1, nil }
 	t.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 		return work.Answer{Clock: t.clock}, nil
 	}
 	for _, life := range lives {
-		t.reports(life, t.clock, nil)
+		t.report(life, t.clock, nil)
 	}
 	for range backlog {
 		t.submit(15900)
@@ -64,9 +64,9 @@
 	if t.organisations > 0 {
 		name = fmt.Sprint("o", t.jobs%t.organisations)
 	}
-	j := t.readIntake(0, record(t.c, job.OwnedBy(name, s.ID).HandedInKey(), s), time.Now())
-	t.judgeRate(j)
-	t.learnJob(j)
+	j := t.readIntake(0, record(t.c, job.Qualify(name, s.ID).SubmissionKey(), s), time.Now())
+	t.checkRate(j)
+	t.recordJobWork(j)
 	t.openJob(j, time.Now())
 }
 
@@ -74,15 +74,15 @@
 func (t *benchLeader) runPass() {
 	t.placeAll(time.Now())
 	t.commit()
-	t.work.Wait()
-	for _, m := range t.inbox.take() {
+	t.background.Wait()
+	for _, m := range t.inbox.takeAll() {
 		m.apply(t.session)
 	}
-	t.work.Wait()
-	for _, m := range t.inbox.take() {
-		if s, ok := m.(startEnded); ok {
+	t.background.Wait()
+	for _, m := range t.inbox.takeAll() {
+		if s, ok := m.(startResult); ok {
 			t.lastEndNumbers[s.worker]++
-			t.unreportedEnds[s.worker] = append(t.unreportedEnds[s.worker], work.End{N: t.lastEndNumbers[s.worker], Task: s.task.Name(), Run: s.run, How: work.Succeeded})
+			t.unreportedEnds[s.worker] = append(t.unreportedEnds[s.worker], work.EndedRun{Seq: t.lastEndNumbers[s.worker], Task: s.task.Name(), Run: s.run, Outcome: work.Succeeded})
 		}
 		m.apply(t.session)
 	}
@@ -92,7 +92,7 @@
 func (t *benchLeader) reportEnds() {
 	t.clock += 1000
 	for w, ends := range t.unreportedEnds {
-		t.reports(w.Life, t.clock, nil, ends...)
+		t.report(w.Life, t.clock, nil, ends...)
 		delete(t.unreportedEnds, w)
 	}
 }
@@ -125,20 +125,20 @@
 	}
 	t.runPass()
 	t.reportEnds()
-	starts := t.starts
+	starts := t.startCount
 	b.ReportAllocs()
 	for b.Loop() {
 		for range 50 {
 			t.submit(500)
 		}
 		for _, p := range t.pools {
-			p.next = time.Time{}
+			p.nextLookAt = time.Time{}
 		}
 		t.runPass()
 		t.reportEnds()
-		t.passTime(time.Now())
+		t.runTimers(time.Now())
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(t.starts-starts), "ns/start")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(t.startCount-starts), "ns/start")
 }
 
 // BenchmarkTakeoverAtAThousandWorkers measures what a takeover costs the control goroutine, from when the tables are loaded
@@ -158,14 +158,14 @@
 	}
 	for b.Loop() {
 		b.StopTimer()
-		t := newBench(c, jobs, lives...)
+		t := newFixture(c, jobs, lives...)
 		t.term = lead.Term{Number: 2, Fence: 2 << 16}
 		for _, k := range earlier {
-			t.unheard[k.Life] = t.workers[k.Life]
+			t.uncertainLives[k.Life] = t.workers[k.Life]
 		}
 		b.StartTimer()
 		for _, life := range lives {
-			t.reports(life, 10, nil)
+			t.report(life, 10, nil)
 		}
 	}
 }
@@ -188,20 +188,20 @@
 		Pools:  map[string]job.Pool{"p": {}, "o": {}, "spare": {Headroom: true}},
 	}
 	t.PutWave = func(context.Context, int64, bool) error { return nil }
-	wave := Wave{Number: 1, Most: 1, Within: time.Hour}
+	wave := Wave{Number: 1, MaxAway: 1, Within: time.Hour}
 	for life, w := range t.workers {
 		t.machines[w.Machine] = Machine{Name: w.Machine, Pool: w.Pool, ID: life, Labels: []string{"kind", "rack"}}
 		if len(wave.Machines) < workers/2 {
 			wave.Machines = append(wave.Machines, w.Machine)
 		}
 	}
-	t.machinesRead = time.Now()
-	t.machinesAt = time.Now().Add(time.Hour)
-	waveRead{wave: wave}.apply(t.session)
+	t.machinesListedAt = time.Now()
+	t.machinesAskedAt = time.Now().Add(time.Hour)
+	waveRequested{wave: wave}.apply(t.session)
 	t.runPass()
 	b.ReportAllocs()
 	for b.Loop() {
-		t.passTime(time.Now())
-		t.inbox.take()
+		t.runTimers(time.Now())
+		t.inbox.takeAll()
 	}
 }
--- a/pool/session.go
+++ b/pool/session.go
@@ -22,7 +22,7 @@
 // Timing of the control loop.
 const (
 	// tickInterval is the period of the systems that are driven by time alone: leases, due times, waves and paces.
-	tickEvery = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// batchDelay is how long messages are collected before the systems run, so that one pass serves several messages.
 	batchDelay = 2 * time.Millisecond
 )
@@ -30,11 +30,11 @@
 // session is one term as leader: its tables and the control goroutine that owns them.
 type session struct {
 	*Scheduler
-	term  lead.Term
-	inbox *inbox
-	ended chan struct{}
-	ctx   context.Context
-	work  sync.WaitGroup
+	term       lead.Term
+	inbox      *inbox
+	ended      chan struct{}
+	ctx        context.Context
+	background sync.WaitGroup
 
 	config *job.Catalog
 	// ledger counts the resources that each organisation uses, according to the workers table; rate tracks the work
@@ -46,20 +46,20 @@
 	pools   map[string]*poolRow
 	workers map[string]*worker
 	// livesByMachine indexes workers by instance. answeredCount counts the lives that have answered this leader.
-	lives map[string][]*worker
-	heard int
+	livesByMachine map[string][]*worker
+	answeredCount  int
 	// livesByID indexes workers by worker ID.
 	livesByID map[string][]*worker
 	// tokens holds the fencing token of each worker ID, including IDs that no life has any more.
 	tokens map[string]*atomic.Int64
 	// foreign holds the entries in the list of workers that do not describe a usable worker.
-	foreign foreign
+	foreign unusableEntries
 	// endedLives holds the lives that have ended.
-	over map[string]bool
+	endedLives map[string]bool
 	// dirtyJobs and dirtyLives hold the jobs and lives with unstored changes. legacyWorkersRecord is set while the
 	// store still holds the single record of all lives that earlier versions wrote.
-	dirty               keep.Rows[*job.Job]
-	livesDirty          keep.Rows[struct{}]
+	dirtyJobs           keep.Rows[*job.Job]
+	dirtyLives          keep.Rows[struct{}]
 	legacyWorkersRecord bool
 	// writer appends to the state topic. It is used only by the append in progress.
 	writer *keep.Writer
@@ -67,93 +67,93 @@
 	aside asideRecords
 	// unstoredJobs maps each job with ordered but unstored runs to the job version that contains them. unacked holds
 	// the workers with ends that are not stored yet.
-	unkept  map[*job.Job]int64
-	unacked map[*worker]bool
+	unstoredJobs map[*job.Job]int64
+	unacked      map[*worker]bool
 	// maxBatchBytes is the maximum size of a batch.
-	batchMost int
+	maxBatchBytes int
 	// modeSince is the start time of each degraded mode, or zero while the mode is off.
 	modeSince [modeCount]time.Time
 	// plannedStarts are the runs to order once they are stored. storedStarts are stored and wait until the leader may
 	// give orders.
-	planned, held []plannedStart
+	plannedStarts, storedStarts []plannedStart
 	// notDue holds the jobs with start times in the future.
-	later map[string]*job.Job
-	// mayHaveUnstoredRuns is set if an earlier leader may have started runs without storing them, because its store
+	notDue map[string]*job.Job
+	// earlierUnstored is set if an earlier leader may have started runs without storing them, because its store
 	// was unavailable for a long time.
-	coarse bool
+	earlierUnstored bool
 	// readUnconfirmed holds the jobs that were read while the store did not confirm the lead. When a network
 	// partition ends, another leader may already have started what is read then.
-	readUnsure map[string]bool
+	readUnconfirmed map[string]bool
 	// unknownTasks maps each task that a worker lists without a known job to the time it was first listed.
-	unread map[string]time.Time
+	unknownTasks map[string]time.Time
 	// inheritedJobs holds the jobs that an earlier leader may have started.
-	restored map[string]bool
+	inheritedJobs map[string]bool
 	// uncertainLives holds the lives that may still run what an earlier leader started. It is relevant until
 	// doubtOver.
-	unheard map[string]*worker
+	uncertainLives map[string]*worker
 	// takeoverSteps holds the steps of the takeover that have been reached.
 	takeoverSteps map[string]bool
 	// soleLeaderFrom is the time from which the earlier leader certainly makes no more calls to the machine
 	// interface, which accepts calls only from a leader that the store confirms.
-	aloneFrom time.Time
+	soleLeaderFrom time.Time
 	// tablesReadAt is when the tables were read; majorityFencedAt is when half of the workers had this leader's
 	// token.
-	readAt, raised time.Time
+	tablesReadAt, majorityFencedAt time.Time
 	// majorityAskedAt is the latest time since which a majority of the listed workers have been sent a call that they
 	// answered. askTimes is a scratch buffer for computing it.
-	mostAsked atomic.Pointer[time.Time]
-	asked     []time.Time
+	majorityAskedAt atomic.Pointer[time.Time]
+	askTimes        []time.Time
 	// confirmedInstances is the number of instances when the store last confirmed the lead.
-	sure int
+	confirmedInstances int
 	// previousInstances is the number of instances that the previous leader counted.
-	keptInstances int
+	previousInstances int
 
-	starts int64
+	startCount int64
 	// startsInFlight counts the starts that have been sent and not answered.
-	startsUnderWay int
+	startsInFlight int
 	committing     bool
 	// inFlight is the batch being appended; commitStartedAt is when its append began.
-	inFlight    *commitEnded
-	commitSince time.Time
-	usualBatch  time.Duration // running average of the time that the store takes for a batch
-	workersKept map[string]bool
+	inFlight         *commitBatch
+	commitStartedAt  time.Time
+	typicalBatchTime time.Duration // running average of the time that the store takes for a batch
+	storedLives      map[string]bool
 	// intakeReadUntil is, for each partition of the intake, the time before which everything submitted has been read.
-	fresh      []time.Time
-	intakeEnd  []int64
-	serversEnd int64
+	intakeReadUntil []time.Time
+	intakeOffsets   []int64
+	workersOffset   int64
 	// intakePartitions has one bit for each partition of the intake that holds records of a job. cancelled holds the
 	// jobs that clients asked to cancel.
-	intakePartitions map[job.Owned]uint64
-	cancelled        map[job.Owned]bool
+	intakePartitions map[job.QualifiedID]uint64
+	cancelled        map[job.QualifiedID]bool
 	// idConflicts holds the jobs whose ID is already in use by another organisation's job. idConflictsDirty is set
 	// while some of them are not stored; idConflictsDropped are those to delete from the store.
-	idConflicts  map[job.Owned]*idConflict
-	takenDirty   bool
-	takenGone    []job.Owned
-	waveRows     map[int64]*waveRow
-	drains       drains
-	gone         []string  // jobs whose state is to be deleted from the store
-	machinesAt   time.Time // when the machine interface was last asked for the list of instances
-	machinesRead time.Time // when the list in the machines table was requested
-	machinesAsk  bool
-	machinesTook time.Duration // how long the last list took
-	firstHolds   callLimiter   // limits first holds, to workers that have not answered yet
-	idleRest     atomic.Int64  // pause between holds to a worker without work, see watchIdle
-	alarm        alarm         // ends those pauses
-	machines     map[string]Machine
-	names        []string // names of the machines, see instanceNames
-	tickets      map[string]*stepTickets
-	advising     bool // a request to the advice service is in flight; it serves one at a time
-	moves        map[string]*moveStep
-	desk         desk
-	cpuShortage  cpuShortage
-	fleetScan    walk           // paces the scans over all instances: waves and the sizes of pools
-	surplus      map[string]int // number of instances that each pool could give up, according to the latest sizing
-	turns        upkeep.Turns
-	whole        job.Need // mean capacity of an instance
-	began        time.Time
-	lessons      map[string]*lesson
-	lessonsAt    time.Time // when the lessons were last stored
+	idConflicts        map[job.QualifiedID]*idConflict
+	idConflictsDirty   bool
+	idConflictsDropped []job.QualifiedID
+	waveStates         map[int64]*waveState
+	drains             drains
+	forgottenJobs      []string  // jobs whose state is to be deleted from the store
+	machinesAskedAt    time.Time // when the machine interface was last asked for the list of instances
+	machinesListedAt   time.Time // when the list in the machines table was requested
+	machinesAsking     bool
+	machinesListTime   time.Duration // how long the last list took
+	firstHoldSemaphore callSemaphore // limits first holds, to workers that have not answered yet
+	idleRest           atomic.Int64  // pause between holds to a worker without work, see watchIdle
+	alarm              latch         // ends those pauses
+	machines           map[string]Machine
+	machineNames       []string // names of the machines, see instanceNames
+	tickets            map[string]*stepTickets
+	advising           bool // a request to the advice service is in flight; it serves one at a time
+	moves              map[string]*pendingMove
+	machineCalls       machineCallLimiter
+	cpuShortage        cpuShortage
+	fleetScan          scanPacer      // paces the scans over all instances: waves and the sizes of pools
+	surplus            map[string]int // number of instances that each pool could give up, according to the latest sizing
+	turns              upkeep.Bursts
+	meanCapacity       job.Need // mean capacity of an instance
+	startedAt          time.Time
+	lessons            map[string]*queueStats
+	lessonsStoredAt    time.Time // when the lessons were last stored
 	// sideKeys is the set of keys of the stored side records of jobs.
 	sideKeys map[string]bool
 	// silentPending counts the silent workers whose next life may carry out an unanswered start.
@@ -165,19 +165,19 @@
 	fenced, fencing map[string]bool
 	// unmovable maps instances that could not be moved to the time until which no move is retried. movedAt is when
 	// this leader moved an instance.
-	unmovable, ownWord map[string]time.Time
+	unmovable, movedAt map[string]time.Time
 }
 
 func newSession(s *Scheduler, t lead.Term) *session {
 	c := &session{
-		Scheduler: s, term: t, began: s.now(), inbox: newInbox(), ended: make(chan struct{}), config: s.catalog.Load(),
-		jobs: make(map[string]*job.Job), pools: make(map[string]*poolRow), workers: make(map[string]*worker), lives: make(map[string][]*worker), livesByID: make(map[string][]*worker), tokens: make(map[string]*atomic.Int64), over: make(map[string]bool),
-		unkept: make(map[*job.Job]int64), unacked: make(map[*worker]bool), batchMost: cmp.Or(s.BatchMost, batchMost), later: make(map[string]*job.Job), restored: make(map[string]bool), unread: make(map[string]time.Time), readUnsure: make(map[string]bool),
-		fresh: make([]time.Time, len(s.Intake)), intakeEnd: make([]int64, len(s.Intake)),
-		intakePartitions: make(map[job.Owned]uint64), cancelled: make(map[job.Owned]bool), idConflicts: make(map[job.Owned]*idConflict),
-		unheard: make(map[string]*worker), takeoverSteps: make(map[string]bool), workersKept: make(map[string]bool), waveRows: make(map[int64]*waveRow), drains: make(drains), firstHolds: newCallLimiter(),
+		Scheduler: s, term: t, startedAt: s.now(), inbox: newInbox(), ended: make(chan struct{}), config: s.catalog.Load(),
+		jobs: make(map[string]*job.Job), pools: make(map[string]*poolRow), workers: make(map[string]*worker), livesByMachine: make(map[string][]*worker), livesByID: make(map[string][]*worker), tokens: make(map[string]*atomic.Int64), endedLives: make(map[string]bool),
+		unstoredJobs: make(map[*job.Job]int64), unacked: make(map[*worker]bool), maxBatchBytes: cmp.Or(s.MaxBatchBytes, batchMax), notDue: make(map[string]*job.Job), inheritedJobs: make(map[string]bool), unknownTasks: make(map[string]time.Time), readUnconfirmed: make(map[string]bool),
+		intakeReadUntil: make([]time.Time, len(s.Intake)), intakeOffsets: make([]int64, len(s.Intake)),
+		intakePartitions: make(map[job.QualifiedID]uint64), cancelled: make(map[job.QualifiedID]bool), idConflicts: make(map[job.QualifiedID]*idConflict),
+		uncertainLives: make(map[string]*worker), takeoverSteps: make(map[string]bool), storedLives: make(map[string]bool), waveStates: make(map[int64]*waveState), drains: make(drains), firstHoldSemaphore: newCallSemaphore(),
 		machines: make(map[string]Machine), tickets: make(map[string]*stepTickets),
-		moves: make(map[string]*moveStep), sideKeys: make(map[string]bool), trials: make(map[*worker]bool), fenced: make(map[string]bool), fencing: make(map[string]bool), lessons: make(map[string]*lesson), unmovable: make(map[string]time.Time), ownWord: make(map[string]time.Time),
+		moves: make(map[string]*pendingMove), sideKeys: make(map[string]bool), trials: make(map[*worker]bool), fenced: make(map[string]bool), fencing: make(map[string]bool), lessons: make(map[string]*queueStats), unmovable: make(map[string]time.Time), movedAt: make(map[string]time.Time),
 	}
 	c.aside = make(asideRecords)
 	c.writer = c.newWriter()
@@ -193,13 +193,13 @@
 // run is the control goroutine, which owns the tables until the context ends.
 func (c *session) run(ctx context.Context) {
 	for part := range c.Intake {
-		c.work.Go(func() { c.followIntake(part) })
+		c.background.Go(func() { c.followIntake(part) })
 	}
-	c.work.Go(c.followWorkers)
+	c.background.Go(c.followWorkers)
 	for _, w := range c.workers {
 		c.startHolds(w)
 	}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	defer func() { c.endModes(c.now()) }()
 	for {
@@ -208,14 +208,14 @@
 			return
 		case <-c.inbox.signal:
 			time.Sleep(batchDelay)
-			for _, m := range c.inbox.take() {
+			for _, m := range c.inbox.takeAll() {
 				if ctx.Err() != nil {
 					return
 				}
 				m.apply(c)
 			}
 		case <-tick.C:
-			c.passTime(c.exactNow())
+			c.runTimers(c.exactNow())
 		}
 		if ctx.Err() != nil {
 			return // another leader gives the orders now
@@ -226,25 +226,25 @@
 }
 
 // runTimers runs the systems that are driven by time alone.
-func (c *session) passTime(now time.Time) {
+func (c *session) runTimers(now time.Time) {
 	c.openDue(now)
-	c.watchLeases(now)
-	c.sendHeld(now)
-	c.settleUnanswered(now)
+	c.checkLeases(now)
+	c.sendStored(now)
+	c.resolveUnanswered(now)
 	c.endTrials(now)
-	c.loosen(now)
-	c.watchModes(now)
-	c.watchIdle(now)
+	c.allowUnstored(now)
+	c.updateModes(now)
+	c.updateIdlePolling(now)
 	c.handOverIfShortOfCPU(now)
 	c.evacuateLeaving(now)
-	c.emptyDrained(now)
+	c.evacuateDrained(now)
 	if began := c.now(); c.fleetScan.due(began) {
 		c.runWaves(now)
 		c.sizePools(now)
 		c.fleetScan.end(began, c.now())
 	}
 	c.forget(now)
-	c.tellOrganisations(now)
+	c.updateOrganisationGauges(now)
 }
 
 // queue returns the configuration of the job's queue. For a queue that has been removed it returns defaults based on
@@ -275,7 +275,7 @@
 
 func (m catalogChanged) apply(c *session) {
 	c.config = m.catalog
-	c.readForeign()
+	c.retryUnusable()
 	for _, p := range c.pools {
 		clear(p.open)
 	}
@@ -286,8 +286,8 @@
 
 // intakeIsCurrent reports whether every partition of the intake has been read recently enough that a job which is not
 // in the tables was certainly not accepted more than maxIntakeAge ago.
-func (c *session) isFresh() bool {
-	for _, at := range c.fresh {
+func (c *session) intakeIsCurrent() bool {
+	for _, at := range c.intakeReadUntil {
 		if c.exactNow().Sub(at) >= maxIntakeAge {
 			return false
 		}
@@ -311,23 +311,23 @@
 
 // forget drops the jobs whose state clients can no longer ask for.
 func (c *session) forget(now time.Time) {
-	for name, since := range c.unread {
+	for name, since := range c.unknownTasks {
 		if now.Sub(since) > forgetAfter {
-			delete(c.unread, name)
+			delete(c.unknownTasks, name)
 		}
 	}
 	for id, j := range c.jobs {
-		if j.State.Ended() && j.KeptVersion >= j.Version && now.Sub(j.Ended) > c.Bounds().Status+forgetAfter {
+		if j.State.Ended() && j.StoredVersion >= j.Version && now.Sub(j.Ended) > c.Bounds().Status+forgetAfter {
 			delete(c.jobs, id)
-			delete(c.restored, id)
+			delete(c.inheritedJobs, id)
 			delete(c.aside, stateKey+id)
 			for _, prefix := range sidePrefixes {
 				delete(c.aside, prefix+id)
 			}
-			c.gone = append(c.gone, id)
+			c.forgottenJobs = append(c.forgottenJobs, id)
 			c.forgetTickets(j)
-			name := j.Spec.Owner()
-			c.dropRecords(name, c.intakePartitions[name])
+			name := j.Spec.QualifiedID()
+			c.deleteIntakeRecords(name, c.intakePartitions[name])
 			delete(c.intakePartitions, name)
 			delete(c.cancelled, name)
 		}
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -20,19 +20,19 @@
 
 // fixture is a session whose control goroutine is the test itself. The tests apply messages and inspect the tables;
 // calls to workers get no answer.
-type bench struct {
+type fixture struct {
 	*session
 	c *quicktest.C
 }
 
 // newFixture returns a session that has taken over stored jobs and listed workers of the pool "p".
-func newBench(c *quicktest.C, jobs []*job.Job, lives ...string) *bench {
+func newFixture(c *quicktest.C, jobs []*job.Job, lives ...string) *fixture {
 	s := &Scheduler{
 		Entry: "e", Intake: make([]feed.Topic, 1), Events: &event.Ring{},
 		State: feed.Topic{Append: func(context.Context, feed.Batch) (int64, error) { return 1, nil }},
-		Lost:  func(int64) {}, SetLoose: func(bool) {}, SetEarlier: func(bool, bool) {}, LooseKept: func() bool { return false }, ConfirmedAt: time.Now,
+		Lost:  func(int64) {}, AnnounceUnstoredOrders: func(bool) {}, PublishEarlierLeaders: func(bool, bool) {}, UnstoredOrdersAnnounced: func() bool { return false }, ConfirmedAt: time.Now,
 		ParseWorker: func(life string, _ []byte) (work.Worker, error) {
-			return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+			return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 		},
 		Machines: Machines{
 			List: func(context.Context) ([]Machine, error) { return nil, ErrBusy },
@@ -55,20 +55,20 @@
 	s.SetBounds(Bounds{Lease: 10 * time.Second, Stop: 400 * time.Millisecond, Status: time.Minute})
 	s.catalog.Store(&job.Catalog{Queues: map[string]job.Queue{"q": {Name: "q", Pool: "p", Attempts: 3, Stretch: 2}}})
 	s.counts = newMetrics(nil)
-	b := &bench{session: newSession(s, lead.Term{Number: 2, Fence: 2 << 16, Clean: true, Alone: true}), c: c}
+	b := &fixture{session: newSession(s, lead.Term{Number: 2, Fence: 2 << 16, Clean: true, Alone: true}), c: c}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.ctx = ctx
-	c.Cleanup(func() { cancel(); b.work.Wait() })
+	c.Cleanup(func() { cancel(); b.background.Wait() })
 	state, intake, list := feed.KeyedPage{}, feed.KeyedPage{}, feed.KeyedPage{}
 	for _, j := range jobs {
-		intake.Records = append(intake.Records, record(c, j.Spec.Owner().HandedInKey(), j.Spec))
-		state.Records = append(state.Records, record(c, stateKey+j.Spec.ID, j.Keep()))
+		intake.Records = append(intake.Records, record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec))
+		state.Records = append(state.Records, record(c, stateKey+j.Spec.ID, j.Stored()))
 	}
 	for i, life := range lives {
 		list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
-		b.workersKept[life] = true
+		b.storedLives[life] = true
 	}
-	b.take(state, []feed.KeyedPage{intake}, list)
+	b.fillTables(state, []feed.KeyedPage{intake}, list)
 	return b
 }
 
@@ -79,73 +79,73 @@
 }
 
 // jobWithTasks returns a job of one step with count tasks.
-func one(count int) *job.Job {
+func jobWithTasks(count int) *job.Job {
 	return job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: count, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
 }
 
 // report applies a report of a worker.
-func (b *bench) reports(life string, clock work.Clock, running []work.Row, ended ...work.End) {
+func (b *fixture) report(life string, clock work.Clock, running []work.RunStatus, ended ...work.EndedRun) {
 	b.c.Helper()
 	w := b.workers[life]
 	b.c.Assert(w, quicktest.IsNotNil)
-	holdEnded{worker: w, token: w.token.Load(), asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: clock}, Running: running, Ended: ended}}.apply(b.session)
+	holdResult{worker: w, token: w.token.Load(), asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: clock}, Running: running, Ended: ended}}.apply(b.session)
 }
 
 // commitAll commits what has changed and waits for the store's answer. It must be called in a synctest bubble.
-func (b *bench) keeps() {
+func (b *fixture) commitAll() {
 	b.State.Append = func(context.Context, feed.Batch) (int64, error) { return 1, nil }
 	b.commit()
 	synctest.Wait()
-	for _, m := range b.inbox.take() {
+	for _, m := range b.inbox.takeAll() {
 		m.apply(b.session)
 	}
 }
 
-func (b *bench) task(index int) *job.Task { return b.jobs["00000000000000a1"].Task(0, 0, index) }
+func (b *fixture) task(index int) *job.Task { return b.jobs["00000000000000a1"].Task(0, 0, index) }
 
 // placeAndCount runs placement and returns the number of runs that wait to be stored and ordered.
-func (b *bench) ordered() int {
+func (b *fixture) placeAndCount() int {
 	for _, p := range b.pools {
-		p.dirty, p.next = true, time.Time{}
+		p.dirty, p.nextLookAt = true, time.Time{}
 	}
 	b.placeAll(time.Now())
-	return len(b.planned)
+	return len(b.plannedStarts)
 }
 
 const taskName = "00000000000000a1.0.0.0"
 
 func TestATaskThatIsDoneStaysDoneWhateverElseWasKeptOfIt(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(1)
+	j := jobWithTasks(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, "w1" // the stored run is older than the run that ended
-	b := newBench(c, []*job.Job{j}, "w1", "w2")
-	b.reports("w2", 10, nil, work.End{N: 1, Task: taskName, Run: 6, How: work.Succeeded})
+	b := newFixture(c, []*job.Job{j}, "w1", "w2")
+	b.report("w2", 10, nil, work.EndedRun{Seq: 1, Task: taskName, Run: 6, Outcome: work.Succeeded})
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Finished)
-	b.reports("w1", 10, nil) // the stored run is not on its worker
+	b.report("w1", 10, nil) // the stored run is not on its worker
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Finished)
-	c.Assert(b.ordered(), quicktest.Equals, 0)
+	c.Assert(b.placeAndCount(), quicktest.Equals, 0)
 }
 
 func TestAKeptRunIsSettledByItsWorkersFirstReport(t *testing.T) {
 	for _, test := range [...]struct {
 		name    string
-		running []work.Row
-		ended   []work.End
+		running []work.RunStatus
+		ended   []work.EndedRun
 		phase   job.Phase
 	}{
-		{"it runs", []work.Row{{Task: taskName, Run: 5}}, nil, job.Active},
-		{"it is done", nil, []work.End{{N: 1, Task: taskName, Run: 5, How: work.Succeeded}}, job.Finished},
-		{"it failed", nil, []work.End{{N: 1, Task: taskName, Run: 5, How: work.Failed}}, job.Waiting},
+		{"it runs", []work.RunStatus{{Task: taskName, Run: 5}}, nil, job.Active},
+		{"it is done", nil, []work.EndedRun{{Seq: 1, Task: taskName, Run: 5, Outcome: work.Succeeded}}, job.Finished},
+		{"it failed", nil, []work.EndedRun{{Seq: 1, Task: taskName, Run: 5, Outcome: work.Failed}}, job.Waiting},
 		{"it never began", nil, nil, job.Waiting},
-		{"a later run is there", []work.Row{{Task: taskName, Run: 9}}, nil, job.Active},
+		{"a later run is there", []work.RunStatus{{Task: taskName, Run: 9}}, nil, job.Active},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			j := one(1)
+			j := jobWithTasks(1)
 			j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, "w1"
-			b := newBench(c, []*job.Job{j}, "w1")
-			c.Assert(b.ordered(), quicktest.Equals, 0, quicktest.Commentf("started before its worker answered"))
-			b.reports("w1", 10, test.running, test.ended...)
+			b := newFixture(c, []*job.Job{j}, "w1")
+			c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("started before its worker answered"))
+			b.report("w1", 10, test.running, test.ended...)
 			c.Assert(b.task(0).Phase, quicktest.Equals, test.phase)
 		})
 	}
@@ -157,20 +157,20 @@
 func TestHalfOfTheInstancesCountsThoseThatAreNotListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil)
+		b := newFixture(c, nil)
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
-		b.workersKept = make(map[string]bool)
+		b.storedLives = make(map[string]bool)
 		var earlier []keptWorker
 		for _, life := range []string{"w1", "w2", "w3", "w4"} {
 			earlier = append(earlier, keptWorker{Life: life, Machine: "m-" + life, Pool: "p", Address: "a"})
 		}
-		b.take(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, earlier)}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
-		b.watchLeases(time.Now())
-		c.Assert(b.raised.IsZero(), quicktest.IsTrue, quicktest.Commentf("no worker has answered"))
-		b.reports("w1", 10, nil)
-		c.Assert(b.raised.IsZero(), quicktest.IsTrue)
-		b.reports("w2", 10, nil)
-		c.Assert(b.raised.IsZero(), quicktest.IsFalse)
+		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, earlier)}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		b.checkLeases(time.Now())
+		c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsTrue, quicktest.Commentf("no worker has answered"))
+		b.report("w1", 10, nil)
+		c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsTrue)
+		b.report("w2", 10, nil)
+		c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsFalse)
 	})
 }
 
@@ -181,103 +181,103 @@
 func TestMostIsCountedOfWhatTheLeaderBeforeCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2", "w3", "w4")
+		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
 		list := feed.KeyedPage{}
 		for i, life := range []string{"w1", "w2", "w3", "w4"} {
 			list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
 		}
-		b.take(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, instancesKey, 12)}}, []feed.KeyedPage{{}}, list)
+		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, instancesKey, 12)}}, []feed.KeyedPage{{}}, list)
 		for _, life := range []string{"w1", "w2", "w3", "w4"} {
-			b.reports(life, 10, nil)
+			b.report(life, 10, nil)
 		}
-		b.countProofs(time.Now())
-		b.sortAsked()
-		c.Assert(b.raised.IsZero(), quicktest.IsTrue, quicktest.Commentf("four of twelve have answered"))
-		c.Assert(b.provedByMost(time.Now()), quicktest.IsFalse)
+		b.updateQuorum(time.Now())
+		b.computeQuorumTime()
+		c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsTrue, quicktest.Commentf("four of twelve have answered"))
+		c.Assert(b.provedByQuorum(time.Now()), quicktest.IsFalse)
 		for i := range 6 { // the machine interface lists six
 			b.machines[fmt.Sprint("m", i)] = Machine{Pool: "p"}
 		}
-		b.machinesRead = time.Now()
-		b.countProofs(time.Now())
-		b.sortAsked()
-		b.countRaised(time.Now())
-		c.Assert(b.raised.IsZero(), quicktest.IsFalse)
-		c.Assert(b.provedByMost(time.Now()), quicktest.IsTrue)
+		b.machinesListedAt = time.Now()
+		b.updateQuorum(time.Now())
+		b.computeQuorumTime()
+		b.updateRaised(time.Now())
+		c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsFalse)
+		c.Assert(b.provedByQuorum(time.Now()), quicktest.IsTrue)
 	})
 }
 
 func TestAnUnansweredStartIsSettledByTheWorkersClock(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1")
-	b.reports("w1", 100, nil)
-	c.Assert(b.ordered(), quicktest.Equals, 1)
-	b.sendPlanned()
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1")
+	b.report("w1", 100, nil)
+	c.Assert(b.placeAndCount(), quicktest.Equals, 1)
+	b.sendUnstored()
 	r := b.workers["w1"].runs[b.task(0)]
-	startEnded{worker: b.workers["w1"], task: b.task(0), run: r.number, err: work.ErrNoAnswer}.apply(b.session)
+	startResult{worker: b.workers["w1"], task: b.task(0), run: r.number, err: work.ErrNoAnswer}.apply(b.session)
 	c.Assert(r.unanswered, quicktest.IsTrue)
-	b.reports("w1", r.deadline, nil)
+	b.report("w1", r.deadline, nil)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Starting, quicktest.Commentf("the start may still be carried out"))
-	b.reports("w1", r.deadline+1, nil)
+	b.report("w1", r.deadline+1, nil)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 }
 
 func TestAnOlderReportDoesNotEndAYoungerRun(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1")
-	b.reports("w1", 100, nil)
-	b.ordered()
-	b.sendPlanned()
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1")
+	b.report("w1", 100, nil)
+	b.placeAndCount()
+	b.sendUnstored()
 	r := b.workers["w1"].runs[b.task(0)]
-	startEnded{worker: b.workers["w1"], task: b.task(0), run: r.number, answer: work.Answer{Clock: 150}}.apply(b.session)
-	b.reports("w1", 140, nil) // made before the start was carried out
+	startResult{worker: b.workers["w1"], task: b.task(0), run: r.number, answer: work.Answer{Clock: 150}}.apply(b.session)
+	b.report("w1", 140, nil) // made before the start was carried out
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Active)
-	b.reports("w1", 160, nil)
+	b.report("w1", 160, nil)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 }
 
 func TestALeaderThatMayHaveBeenFollowedStartsNothing(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1", "w2", "w3")
-	b.reports("w1", 100, nil)
-	b.countProofs(time.Now())
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1", "w2", "w3")
+	b.report("w1", 100, nil)
+	b.updateQuorum(time.Now())
 	b.ConfirmedAt = func() time.Time { return time.Time{} }
-	b.countProofs(time.Now())
-	c.Assert(b.ordered(), quicktest.Equals, 0)
-	b.reports("w2", 100, nil)
-	b.countProofs(time.Now()) // a majority of the workers has answered it
-	c.Assert(b.ordered(), quicktest.Equals, 1)
+	b.updateQuorum(time.Now())
+	c.Assert(b.placeAndCount(), quicktest.Equals, 0)
+	b.report("w2", 100, nil)
+	b.updateQuorum(time.Now()) // a majority of the workers has answered it
+	c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 }
 
 func TestAListNamesNoLifeAheadOfOneThatAnswers(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1")
-	b.reports("w1", 100, nil)
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1")
+	b.report("w1", 100, nil)
 	b.ParseWorker = func(life string, _ []byte) (work.Worker, error) {
 		return work.Worker{Life: life, Machine: "m-w1", Pool: "p"}, nil
 	}
-	b.listWorker("w0", []byte{1})
+	b.applyWorkerRecord("w0", []byte{1})
 	c.Assert(b.workers["w1"], quicktest.IsNotNil)
-	b.reports("w0", 5, nil) // it answers, so it is the instance's current life
+	b.report("w0", 5, nil) // it answers, so it is the instance's current life
 	c.Assert(b.workers["w1"], quicktest.IsNil)
-	c.Assert(b.listWorker("w1", []byte{1}), quicktest.IsNil, quicktest.Commentf("a life that has ended must stay ended"))
+	c.Assert(b.applyWorkerRecord("w1", []byte{1}), quicktest.IsNil, quicktest.Commentf("a life that has ended must stay ended"))
 }
 
 func TestEndsAreAcknowledgedOnceTheyAreKept(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1")
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1")
 	appended := make(chan feed.Batch, 1)
 	b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) { appended <- batch; return 1, nil }
-	b.reports("w1", 100, nil, work.End{N: 3, Task: taskName, Run: 5, How: work.Succeeded})
+	b.report("w1", 100, nil, work.EndedRun{Seq: 3, Task: taskName, Run: 5, Outcome: work.Succeeded})
 	b.commit()
 	c.Assert(b.workers["w1"].acked.Load(), quicktest.Equals, int64(0))
 	<-appended
-	b.session.work.Wait()
-	for _, m := range b.inbox.take() {
+	b.session.background.Wait()
+	for _, m := range b.inbox.takeAll() {
 		m.apply(b.session)
 	}
 	c.Assert(b.workers["w1"].acked.Load(), quicktest.Equals, int64(3))
-	c.Assert(b.jobs["00000000000000a1"].Shown(), quicktest.Equals, job.Succeeded)
+	c.Assert(b.jobs["00000000000000a1"].VisibleState(), quicktest.Equals, job.Succeeded)
 }
 
 // BenchmarkTick measures the periodic systems at several deployment sizes. Their cost must depend on the work to do
@@ -295,14 +295,14 @@
 			}
 			var jobs []*job.Job
 			for i := range size.jobs {
-				j := one(8)
+				j := jobWithTasks(8)
 				j.Spec.ID = time.UnixMilli(int64(i)).UTC().Format("0000000150405.000")
 				jobs = append(jobs, j)
 			}
-			s := newBench(c, jobs, lives...)
+			s := newFixture(c, jobs, lives...)
 			b.ReportAllocs()
 			for b.Loop() {
-				s.passTime(time.Now())
+				s.runTimers(time.Now())
 			}
 		})
 	}
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -18,16 +18,16 @@
 func (m organisationsChanged) apply(c *session) {
 	c.ledger.SetDirectory(m.directory)
 	c.rate.Forget(m.directory)
-	c.dirtyAll() // a cap may have been raised
+	c.markAllDirty() // a cap may have been raised
 }
 
 // checkRate records whether a job exceeds the rate limit of its organisation, based on the time at which it was accepted.
-func (c *session) judgeRate(j *job.Job) {
-	j.Beyond = c.rate.Beyond(c.ledger.Of(j.Spec.Organisation), j.Spec.Taken.Time())
+func (c *session) checkRate(j *job.Job) {
+	j.OverRate = c.rate.Exceeded(c.ledger.Organisation(j.Spec.Organisation), j.Spec.Taken.Time())
 }
 
 // recheckRates repeats the rate check for all jobs that a new leader has loaded, in the order in which they were accepted.
-func (c *session) restoreRates() {
+func (c *session) recheckRates() {
 	jobs := make([]*job.Job, 0, len(c.jobs))
 	for _, j := range c.jobs {
 		if j.Spec.Organisation != "" {
@@ -38,13 +38,13 @@
 		return cmp.Or(cmp.Compare(a.Spec.Taken, b.Spec.Taken), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, j := range jobs {
-		c.judgeRate(j)
+		c.checkRate(j)
 	}
 }
 
 // draft returns a copy of the ledger for a placement decision. Capacity that organisations may be using without being counted is charged to them.
 func (c *session) draft() *org.Draft {
-	if !c.ledger.Bounded() {
+	if !c.ledger.HasCaps() {
 		return c.ledger.Draft(nil)
 	}
 	ofUnknownJobs, unstored := c.uncountedNeed()
@@ -52,14 +52,14 @@
 		return c.ledger.Draft(func(string) job.Need { return ofUnknownJobs })
 	}
 	possible := c.possiblyStarted()
-	return c.ledger.Draft(func(name string) job.Need { return ofUnknownJobs.Plus(unstored.Least(possible[name])) })
+	return c.ledger.Draft(func(name string) job.Need { return ofUnknownJobs.Plus(unstored.Min(possible[name])) })
 }
 
 // possiblyStarted returns, by organisation, the total need of the waiting tasks of jobs that an earlier leader knew. Unstored runs of an organisation
 // can't use more than that.
 func (c *session) possiblyStarted() map[string]job.Need {
 	possible := make(map[string]job.Need)
-	for id := range c.restored {
+	for id := range c.inheritedJobs {
 		j := c.jobs[id]
 		if j == nil || j.Spec.Organisation == "" || j.State.Ended() {
 			continue
@@ -78,10 +78,10 @@
 // logCapped logs each step that starts or stops waiting for the cap of its organisation, one line per change.
 func (c *session) logCapped(groups []*place.Group) {
 	for _, g := range groups {
-		if g.Capped == g.ToldCapped || len(g.Tasks) == 0 {
+		if g.Capped == g.CappedLogged || len(g.Tasks) == 0 {
 			continue
 		}
-		g.ToldCapped = g.Capped
+		g.CappedLogged = g.Capped
 		why := "room"
 		if g.Capped {
 			why = "cap"
@@ -90,7 +90,7 @@
 		name := g.Job.Spec.Organisation
 		held, runs := c.ledger.Held(name)
 		limit := job.Need{}
-		if o := c.ledger.Of(name); o != nil {
+		if o := c.ledger.Organisation(name); o != nil {
 			limit = o.Cap
 		}
 		c.emit(event.JobWaits, event.Subject{Job: g.Job.Spec.ID}, "why=%s organisation=%q step=%d tasks=%d running=%d held=%dm/%dMB cap=%dm/%dMB", why, name, g.Step, len(g.Tasks), runs, held.MilliCPU, held.MemoryMB, limit.MilliCPU, limit.MemoryMB)
@@ -104,7 +104,7 @@
 		return sum
 	}
 	for _, w := range c.workers {
-		sum = sum.Plus(w.Room)
+		sum = sum.Plus(w.Capacity)
 	}
 	return sum
 }
@@ -117,15 +117,15 @@
 	var largest job.Need
 	unknownCapacity, mayHaveUnstored := 0, c.mayHaveUnstoredRuns()
 	for _, w := range c.workers {
-		largest = largest.Most(w.Room)
+		largest = largest.Max(w.Capacity)
 		switch {
-		case w.unread > 0 || w.unknown > 0:
-			ofUnknownJobs = ofUnknownJobs.Plus(w.room.Free.Most(job.Need{}))
-		case !mayHaveUnstored || c.unheard[w.Life] == nil:
-		case w.Room == (job.Need{}):
+		case w.unreadRuns > 0 || w.unknownRuns > 0:
+			ofUnknownJobs = ofUnknownJobs.Plus(w.room.Free.Max(job.Need{}))
+		case !mayHaveUnstored || c.uncertainLives[w.Life] == nil:
+		case w.Capacity == (job.Need{}):
 			unknownCapacity++
 		default:
-			unstored = unstored.Plus(w.room.Free.Most(job.Need{}))
+			unstored = unstored.Plus(w.room.Free.Max(job.Need{}))
 		}
 	}
 	// The capacity of a stored incarnation that is no longer listed is not known. It is taken to be that of the largest worker.
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -21,7 +21,7 @@
 )
 
 // setCap configures organisations "a" and "b", of which "a" has a cap in thousandths of a core.
-func (b *bench) setCap(milliCPU int) {
+func (b *fixture) setCap(milliCPU int) {
 	b.c.Helper()
 	d, err := org.NewDirectory([]org.Organisation{{Name: "a", Weight: 10, Cap: job.Need{MilliCPU: milliCPU}}, {Name: "b", Weight: 10}})
 	b.c.Assert(err, quicktest.IsNil)
@@ -29,11 +29,11 @@
 }
 
 // submit reads a job of an organisation from the intake.
-func (b *bench) handIn(organisation, id string, s job.Step) *job.Job {
+func (b *fixture) submit(organisation, id string, s job.Step) *job.Job {
 	b.c.Helper()
-	j := b.readIntake(0, record(b.c, job.OwnedBy(organisation, id).HandedInKey(), &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{s}, Taken: job.UnixMilli(time.Now().UnixMilli())}), time.Now())
+	j := b.readIntake(0, record(b.c, job.Qualify(organisation, id).SubmissionKey(), &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{s}, Taken: job.UnixMilli(time.Now().UnixMilli())}), time.Now())
 	b.c.Assert(j, quicktest.IsNotNil)
-	b.judgeRate(j)
+	b.checkRate(j)
 	b.openJob(j, time.Now())
 	return j
 }
@@ -41,10 +41,10 @@
 func oneCoreTasks(count int) job.Step { return job.Step{Count: count, Need: job.Need{MilliCPU: 1000}} }
 
 // submitToEarlierLeader reads a job of an organisation that an earlier leader also knew.
-func (b *bench) submitToEarlierLeader(organisation, id string, s job.Step) {
+func (b *fixture) submitToEarlierLeader(organisation, id string, s job.Step) {
 	b.c.Helper()
-	b.handIn(organisation, id, s)
-	b.restored[id] = true
+	b.submit(organisation, id, s)
+	b.inheritedJobs[id] = true
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
@@ -54,20 +54,20 @@
 func TestACapCountsWhatIsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2")
+		b := newFixture(c, nil, "w1", "w2")
 		b.setCap(3000)
-		b.reports("w1", 10, nil)
-		b.reports("w2", 10, nil)
-		first := b.handIn("a", jobID(1), oneCoreTasks(2))
-		c.Assert(b.ordered(), quicktest.Equals, 2)
-		b.keeps() // sent but not answered
-		b.handIn("a", jobID(2), oneCoreTasks(3))
-		c.Assert(b.ordered(), quicktest.Equals, 1)
-		b.stopAll(first, "cancelled")
-		b.keeps()
-		c.Assert(b.ordered(), quicktest.Equals, 0, quicktest.Commentf("stopped is not ended"))
-		c.Assert(b.handIn("b", jobID(3), oneCoreTasks(2)).State, quicktest.Equals, job.Queued)
-		c.Assert(b.ordered(), quicktest.Equals, 2, quicktest.Commentf("what waits for its cap keeps no room"))
+		b.report("w1", 10, nil)
+		b.report("w2", 10, nil)
+		first := b.submit("a", jobID(1), oneCoreTasks(2))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 2)
+		b.commitAll() // sent but not answered
+		b.submit("a", jobID(2), oneCoreTasks(3))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
+		b.stopJob(first, "cancelled")
+		b.commitAll()
+		c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("stopped is not ended"))
+		c.Assert(b.submit("b", jobID(3), oneCoreTasks(2)).State, quicktest.Equals, job.Queued)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 2, quicktest.Commentf("what waits for its cap keeps no room"))
 	})
 }
 
@@ -81,32 +81,32 @@
 		for i := range j.Tasks {
 			j.Tasks[i].Phase, j.Tasks[i].Run, j.Tasks[i].Worker = job.Active, int64(5+i), "w1"
 		}
-		b := newBench(c, []*job.Job{j}, "w1", "w2")
+		b := newFixture(c, []*job.Job{j}, "w1", "w2")
 		held, runs := b.ledger.Held("a")
 		c.Assert(held, quicktest.Equals, job.Need{MilliCPU: 2000})
 		c.Assert(runs, quicktest.Equals, 2)
 		b.setCap(3000)
-		b.reports("w2", 10, nil) // w1 has not answered yet
-		b.handIn("a", jobID(2), oneCoreTasks(4))
-		c.Assert(b.ordered(), quicktest.Equals, 1)
+		b.report("w2", 10, nil) // w1 has not answered yet
+		b.submit("a", jobID(2), oneCoreTasks(4))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 	})
 }
 
 func TestWhatAnEarlierLeaderMayNotHaveKeptCountsAgainstEveryCap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2")
+		b := newFixture(c, nil, "w1", "w2")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
-		b.coarse = true
-		b.unheard["w1"] = b.workers["w1"]
-		b.raised = time.Now()
+		b.earlierUnstored = true
+		b.uncertainLives["w1"] = b.workers["w1"]
+		b.majorityFencedAt = time.Now()
 		b.setCap(6000)
-		b.reports("w2", 10, nil)
+		b.report("w2", 10, nil)
 		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(20))
-		b.handIn("a", jobID(1), oneCoreTasks(4))
-		c.Assert(b.ordered(), quicktest.Equals, 2, quicktest.Commentf("w1 may run four cores of anybody's"))
-		b.reports("w1", 10, nil)
-		c.Assert(b.ordered(), quicktest.Equals, 6)
+		b.submit("a", jobID(1), oneCoreTasks(4))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 2, quicktest.Commentf("w1 may run four cores of anybody's"))
+		b.report("w1", 10, nil)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 6)
 	})
 }
 
@@ -116,18 +116,18 @@
 func TestWhatDoesNotWaitCanNotRunUnkept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2", "w3", "w4")
+		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
-		b.coarse, b.raised = true, time.Now()
+		b.earlierUnstored, b.majorityFencedAt = true, time.Now()
 		for _, life := range []string{"w1", "w2", "w3"} {
-			b.unheard[life] = b.workers[life]
+			b.uncertainLives[life] = b.workers[life]
 		}
 		b.setCap(5000)
-		b.reports("w4", 10, nil)
+		b.report("w4", 10, nil)
 		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(2))
 		b.submitToEarlierLeader("b", jobID(8), oneCoreTasks(20))
-		b.handIn("a", jobID(1), oneCoreTasks(4))
-		c.Assert(b.ordered(), quicktest.Equals, 3)
+		b.submit("a", jobID(1), oneCoreTasks(4))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 3)
 	})
 }
 
@@ -136,19 +136,19 @@
 func TestUntilHalfHaveItsTokenALeaderCountsWhatAnotherMayStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1", "w2", "w3")
+		b := newFixture(c, nil, "w1", "w2", "w3")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
 		for _, life := range []string{"w1", "w2"} {
-			b.unheard[life] = b.workers[life]
+			b.uncertainLives[life] = b.workers[life]
 		}
 		b.setCap(9000)
-		b.reports("w3", 10, nil)
+		b.report("w3", 10, nil)
 		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(20))
-		b.handIn("a", jobID(1), oneCoreTasks(6))
-		c.Assert(b.ordered(), quicktest.Equals, 1, quicktest.Commentf("w1 and w2 may run eight cores of anybody's"))
-		b.reports("w2", 10, nil)
-		c.Assert(b.raised.IsZero(), quicktest.IsFalse)
-		c.Assert(b.ordered(), quicktest.Equals, 8, quicktest.Commentf("all that w2 and w3 have room for"))
+		b.submit("a", jobID(1), oneCoreTasks(6))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1, quicktest.Commentf("w1 and w2 may run eight cores of anybody's"))
+		b.report("w2", 10, nil)
+		c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsFalse)
+		c.Assert(b.placeAndCount(), quicktest.Equals, 8, quicktest.Commentf("all that w2 and w3 have room for"))
 	})
 }
 
@@ -157,28 +157,28 @@
 func TestALifeOutOfTheListCountsAsLargeAsAny(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w2")
+		b := newFixture(c, nil, "w2")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
-		b.take(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
-		b.raised = time.Now()
+		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		b.majorityFencedAt = time.Now()
 		b.setCap(6000)
-		b.reports("w2", 10, nil)
+		b.report("w2", 10, nil)
 		b.submitToEarlierLeader("a", jobID(9), oneCoreTasks(20))
-		b.handIn("a", jobID(1), oneCoreTasks(4))
-		c.Assert(b.ordered(), quicktest.Equals, 2)
+		b.submit("a", jobID(1), oneCoreTasks(4))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 2)
 	})
 }
 
 func TestACapLoweredBetweenDecisionAndOrderHoldsTheOrderBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1")
+		b := newFixture(c, nil, "w1")
 		b.setCap(4000)
-		b.reports("w1", 10, nil)
-		b.handIn("a", jobID(1), oneCoreTasks(4))
-		c.Assert(b.ordered(), quicktest.Equals, 4)
+		b.report("w1", 10, nil)
+		b.submit("a", jobID(1), oneCoreTasks(4))
+		c.Assert(b.placeAndCount(), quicktest.Equals, 4)
 		b.setCap(2000)
-		b.keeps()
+		b.commitAll()
 		held, runs := b.ledger.Held("a")
 		c.Assert(held, quicktest.Equals, job.Need{MilliCPU: 2000})
 		c.Assert(runs, quicktest.Equals, 2)
@@ -191,46 +191,46 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
 			r := rand.New(rand.NewPCG(seed, 3))
-			b := newBench(c, nil, "w1", "w2", "w3")
+			b := newFixture(c, nil, "w1", "w2", "w3")
 			b.setCap(5000)
 			clock, newest := work.Clock(10), make(map[string]int64)
 			for _, life := range []string{"w1", "w2", "w3"} {
-				b.reports(life, clock, nil)
+				b.report(life, clock, nil)
 			}
 			for step := range 60 {
 				switch r.IntN(6) {
 				case 0:
-					b.handIn([]string{"a", "b", ""}[r.IntN(3)], jobID(step), job.Step{Count: 1 + r.IntN(4), Need: job.Need{MilliCPU: 500 * (1 + r.IntN(3)), MemoryMB: r.IntN(100)}})
+					b.submit([]string{"a", "b", ""}[r.IntN(3)], jobID(step), job.Step{Count: 1 + r.IntN(4), Need: job.Need{MilliCPU: 500 * (1 + r.IntN(3)), MemoryMB: r.IntN(100)}})
 				case 1:
-					b.ordered()
-					b.keeps()
+					b.placeAndCount()
+					b.commitAll()
 				case 2:
 					b.setCap(1000 * r.IntN(8))
 				case 3:
 					if len(b.workers) > 1 && r.IntN(5) == 0 {
 						for _, w := range b.workers {
-							b.lose(w, "test")
+							b.endLife(w, "test")
 							break
 						}
 					}
 				default:
 					clock += 100
 					for life, w := range b.workers {
-						var rows []work.Row
-						var ends []work.End
+						var rows []work.RunStatus
+						var ends []work.EndedRun
 						for t, x := range w.runs {
 							switch {
 							case r.IntN(3) == 0:
 								newest[life]++
-								ends = append(ends, work.End{N: newest[life], Task: t.Name(), Run: x.number, How: []work.How{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
+								ends = append(ends, work.EndedRun{Seq: newest[life], Task: t.Name(), Run: x.number, Outcome: []work.Outcome{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
 							case x.sent:
-								rows = append(rows, work.Row{Task: t.Name(), Run: x.number})
+								rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number})
 							}
 							if r.IntN(9) == 0 {
-								rows = append(rows, work.Row{Task: t.Name(), Run: x.number + 1000})
+								rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number + 1000})
 							}
 						}
-						b.reports(life, clock, rows, ends...)
+						b.report(life, clock, rows, ends...)
 					}
 				}
 				for _, name := range [...]string{"a", "b"} {
@@ -242,7 +242,7 @@
 								sum, count = sum.Plus(t.Spec().Need), count+1
 							}
 						}
-						for _, x := range w.besides {
+						for _, x := range w.supersededRuns {
 							if x.organisation == name {
 								sum, count = sum.Plus(x.step.Need), count+1
 							}
@@ -261,14 +261,14 @@
 // session and the end of loading. Such leaders used outdated caps for their whole term. Found by random histories of caps (seeds 27 and 31).
 func TestWhatIsPublishedWhileALeaderReadsItsTablesCounts(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil, "w1")
+	b := newFixture(c, nil, "w1")
 	newer := &job.Catalog{Version: 9}
 	d, err := org.NewDirectory([]org.Organisation{{Name: "a", Weight: 1}})
 	c.Assert(err, quicktest.IsNil)
 	b.Scheduler.SetOrganisations(d) // no session is active yet
 	b.Scheduler.SetCatalog(newer)
-	b.Scheduler.lead(b.session)
-	for _, m := range b.inbox.take() {
+	b.Scheduler.setCurrent(b.session)
+	for _, m := range b.inbox.takeAll() {
 		m.apply(b.session)
 	}
 	c.Assert(b.config, quicktest.Equals, newer)
@@ -280,17 +280,17 @@
 func TestWhatNobodyOwesAndWhatACapHoldsAskForNoInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1")
+		b := newFixture(c, nil, "w1")
 		b.setCap(1000)
-		b.reports("w1", 10, nil)
-		b.handIn("b", jobID(1), oneCoreTasks(6))
-		b.ordered()
+		b.report("w1", 10, nil)
+		b.submit("b", jobID(1), oneCoreTasks(6))
+		b.placeAndCount()
 		b.countLoads()
 		before := b.pool("p").load.waitingWork
-		b.handIn("a", jobID(2), oneCoreTasks(20))
-		b.handIn("b", jobID(3), oneCoreTasks(20)).Beyond = true
+		b.submit("a", jobID(2), oneCoreTasks(20))
+		b.submit("b", jobID(3), oneCoreTasks(20)).OverRate = true
 		b.openJob(b.jobs[jobID(3)], time.Now())
-		b.ordered()
+		b.placeAndCount()
 		b.countLoads()
 		c.Assert(b.pool("p").load.waitingWork, quicktest.Equals, before)
 	})
@@ -299,10 +299,10 @@
 func TestACapIsToldOnceWhenItBeginsAndWhenItEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil, "w1")
+		b := newFixture(c, nil, "w1")
 		b.setCap(2000)
-		b.reports("w1", 10, nil)
-		b.handIn("a", jobID(1), oneCoreTasks(3))
+		b.report("w1", 10, nil)
+		b.submit("a", jobID(1), oneCoreTasks(3))
 		told := func() (lines []string) {
 			for _, e := range b.Events.Since(0) {
 				if e.Number == event.JobWaits {
@@ -312,12 +312,12 @@
 			return lines
 		}
 		for range 3 {
-			b.ordered()
+			b.placeAndCount()
 		}
 		c.Assert(told(), quicktest.DeepEquals, []string{`why=cap organisation="a" step=0 tasks=1 running=2 held=2000m/0MB cap=2000m/0MB`})
 		b.setCap(8000)
 		b.workers["w1"].room.Free = job.Need{}
-		b.ordered()
+		b.placeAndCount()
 		c.Assert(told(), quicktest.HasLen, 2)
 		c.Assert(told()[1], quicktest.Contains, "why=room")
 	})
@@ -326,13 +326,13 @@
 // TestTheMetricsNameABoundedNumberOfOrganisations checks that organisations beyond the limit share one gauge.
 func TestTheMetricsNameABoundedNumberOfOrganisations(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil, "w1")
+	b := newFixture(c, nil, "w1")
 	scope := tally.NewTestScope("", nil)
 	b.counts = newMetrics(scope)
 	for i := range maxOrganisationGauges + 10 {
-		b.ledger.Take(fmt.Sprintf("o%03d", i), job.Need{MilliCPU: 100})
+		b.ledger.Acquire(fmt.Sprintf("o%03d", i), job.Need{MilliCPU: 100})
 	}
-	b.tellOrganisations(time.Now())
+	b.updateOrganisationGauges(time.Now())
 	gauges := scope.Snapshot().Gauges()
 	named := 0
 	for _, g := range gauges {
@@ -342,7 +342,7 @@
 	}
 	c.Assert(named, quicktest.Equals, maxOrganisationGauges+1)
 	c.Assert(gauges["organisation_millicores+organisation="+otherOrganisations].Value(), quicktest.Equals, 1000.0)
-	b.ledger.Return("o000", job.Need{MilliCPU: 100})
-	b.tellOrganisations(time.Now().Add(organisationGaugeInterval))
+	b.ledger.Release("o000", job.Need{MilliCPU: 100})
+	b.updateOrganisationGauges(time.Now().Add(organisationGaugeInterval))
 	c.Assert(scope.Snapshot().Gauges()["organisation_millicores+organisation=o000"].Value(), quicktest.Equals, 0.0)
 }
--- a/pool/shorthold_test.go
+++ b/pool/shorthold_test.go
@@ -30,11 +30,11 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
-				b := newBench(c, nil, "w1")
+				b := newFixture(c, nil, "w1")
 				w := b.workers["w1"]
-				b.reports("w1", 10, nil)
+				b.report("w1", 10, nil)
 				for i := range x.tasks {
-					b.addRun(w, &one(x.tasks).Tasks[i], &run{number: int64(i + 1)})
+					b.addRun(w, &jobWithTasks(x.tasks).Tasks[i], &run{number: int64(i + 1)})
 				}
 				var mu sync.Mutex
 				var asked []time.Time
@@ -68,14 +68,14 @@
 
 func TestRunsThatEndAreCountedApartFromLastingOnes(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil, "w1")
+	b := newFixture(c, nil, "w1")
 	w := b.workers["w1"]
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 2}, {Count: 1, Lasting: true}}}, time.Now())
 	for i := range j.Tasks {
 		b.addRun(w, &j.Tasks[i], &run{number: int64(i + 1)})
 	}
-	c.Assert(w.brief.Load(), quicktest.Equals, int32(2))
-	w.drop(&j.Tasks[0])
-	w.drop(&j.Tasks[2])
-	c.Assert(w.brief.Load(), quicktest.Equals, int32(1))
+	c.Assert(w.finiteRuns.Load(), quicktest.Equals, int32(2))
+	w.dropRun(&j.Tasks[0])
+	w.dropRun(&j.Tasks[2])
+	c.Assert(w.finiteRuns.Load(), quicktest.Equals, int32(1))
 }
--- a/pool/shrink_test.go
+++ b/pool/shrink_test.go
@@ -14,25 +14,25 @@
 func TestRoomsThatShrinkAreNeverOverfilled(t *testing.T) {
 	for i := range *histories {
 		seed := *first + uint64(i)
-		_, wrong := play(t, seed, func(h *history) {
-			h.unguarded = true
+		_, wrong := runHistory(t, seed, func(h *history) {
+			h.acceptsOverload = true
 			for range historySteps {
-				h.step()
+				h.randomStep()
 				h.mu.Lock()
-				for _, l := range h.lives {
+				for _, l := range h.incarnations {
 					if !l.dead && h.r.IntN(8) == 0 {
-						l.shrink(h.r.IntN(4) * modelTask)
+						l.setCapacityLoss(h.r.IntN(4) * simTaskCPU)
 					}
 				}
 				h.mu.Unlock()
 				time.Sleep(200 * time.Millisecond)
 			}
 			h.mu.Lock()
-			for _, l := range h.lives {
-				l.shrink(0)
+			for _, l := range h.incarnations {
+				l.setCapacityLoss(0)
 			}
 			h.mu.Unlock()
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range wrong {
 			t.Errorf("seed %d: %s", seed, x)
--- a/pool/silent_test.go
+++ b/pool/silent_test.go
@@ -24,19 +24,19 @@
 
 // silentZone cuts a zone off while jobs run there and checks that they complete elsewhere before the partition ends.
 func silentZone(t *testing.T, resets bool) {
-	_, wrong := play(t, 4711, func(h *history) {
+	_, wrong := runHistory(t, 4711, func(h *history) {
 		for range 6 {
 			h.submit(false, 5)
 		}
 		time.Sleep(300 * time.Millisecond)
 		zone := h.busiestOtherZone()
 		h.c.Assert(h.runningIn(zone) > 0, quicktest.IsTrue)
-		h.cutZone(zone, 40*time.Second, resets)
-		const lease = modelLease * 102 / 100           // on a clock that is 2% slow
-		const run = 2500*time.Millisecond + modelAway  // the longest run, and the pause until it begins
-		time.Sleep(lease + 2*run + 2*time.Second)      // two steps, and the time to place their tasks
-		h.c.Check(h.unfinished(), quicktest.HasLen, 0) // while the partition lasts
-		h.settle()
+		h.partitionZone(zone, 40*time.Second, resets)
+		const lease = simLease * 102 / 100              // on a clock that is 2% slow
+		const run = 2500*time.Millisecond + simMoveTime // the longest run, and the pause until it begins
+		time.Sleep(lease + 2*run + 2*time.Second)       // two steps, and the time to place their tasks
+		h.c.Check(h.unfinished(), quicktest.HasLen, 0)  // while the partition lasts
+		h.healAndCheck()
 	})
 	quicktest.New(t).Check(wrong, quicktest.HasLen, 0)
 }
@@ -60,9 +60,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, runs := range h.byTask {
+	for _, runs := range h.runsByTask {
 		for _, x := range runs {
-			if x.to.IsZero() && x.life.machine.zone == zone {
+			if x.endedAt.IsZero() && x.incarnation.machine.zone == zone {
 				n++
 			}
 		}
@@ -84,25 +84,25 @@
 		{"a takeover in the cut", true, 10500 * time.Millisecond},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			_, wrong := play(t, 4711, func(h *history) {
-				h.longest = 300 * time.Millisecond
+			_, wrong := runHistory(t, 4711, func(h *history) {
+				h.maxExtraTime = 300 * time.Millisecond
 				for range 6 {
 					h.submit(false, 5)
 				}
 				time.Sleep(60 * time.Millisecond)
 				zone := h.busiestOtherZone()
 				h.c.Assert(h.runningIn(zone) > 0, quicktest.IsTrue)
-				h.cutZone(zone, 40*time.Second, false)
+				h.partitionZone(zone, 40*time.Second, false)
 				cut := time.Now()
 				if x.takeover {
 					time.Sleep(time.Second)
 					dead := h.leader()
 					h.kill(dead)
-					defer h.restart(dead)
+					defer h.restartEntry(dead)
 				}
 				time.Sleep(time.Until(cut.Add(x.within)))
 				h.c.Check(h.unfinished(), quicktest.HasLen, 0)
-				h.settle()
+				h.healAndCheck()
 			})
 			quicktest.New(t).Check(wrong, quicktest.HasLen, 0)
 		})
--- a/pool/simcaps_test.go
+++ b/pool/simcaps_test.go
@@ -28,7 +28,7 @@
 func (h *history) setCaps(limits ...int) {
 	var rows []org.Organisation
 	for i, n := range limits {
-		rows = append(rows, org.Organisation{Name: fmt.Sprint("o", i), Weight: 100, Cap: job.Need{MilliCPU: n * modelTask}})
+		rows = append(rows, org.Organisation{Name: fmt.Sprint("o", i), Weight: 100, Cap: job.Need{MilliCPU: n * simTaskCPU}})
 	}
 	d, err := org.NewDirectory(rows)
 	if err != nil {
@@ -57,15 +57,15 @@
 func (h *history) organisation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.caps) == 0 || h.jobs%4 == 3 {
+	if len(h.caps) == 0 || h.jobCount%4 == 3 {
 		return ""
 	}
-	return fmt.Sprint("o", h.jobs%len(h.caps[0].limits))
+	return fmt.Sprint("o", h.jobCount%len(h.caps[0].limits))
 }
 
 // checkCap recounts the tasks that an organisation has running on all live workers, this start included. It shares no code
 // with the leaders and does not use their state. The lock must be held.
-func (sim *simulation) checkCap(l *life, organisation, by string, o work.Start) {
+func (sim *simulation) checkCap(l *incarnation, organisation, by string, o work.Start) {
 	if organisation == "" || len(sim.caps) == 0 {
 		return
 	}
@@ -81,12 +81,12 @@
 		}
 	}
 	running := 1
-	for _, x := range sim.lives {
+	for _, x := range sim.incarnations {
 		if x.dead {
 			continue
 		}
 		for _, r := range x.runs {
-			if n, _ := job.ParseName(r.task); r.to.IsZero() && sim.asked[n.ID].Organisation == organisation {
+			if n, _ := job.ParseName(r.task); r.endedAt.IsZero() && sim.specs[n.ID].Organisation == organisation {
 				running++
 			}
 		}
@@ -101,12 +101,12 @@
 func TestCapsHoldOverTakeovers(t *testing.T) {
 	for i := range *histories {
 		seed := *first + uint64(i)
-		_, violations := play(t, seed, func(h *history) {
-			h.answersAgain = seed%2 == 0
+		_, violations := runHistory(t, seed, func(h *history) {
+			h.repeatsBeforeFencing = seed%2 == 0
 			h.setCaps(3, 6)
 			time.Sleep(simConfigDelay)
 			for n := range historySteps {
-				h.step()
+				h.randomStep()
 				if n%6 == 5 {
 					h.mu.Lock()
 					a, b := 1+h.r.IntN(5), 2+h.r.IntN(8)
@@ -115,7 +115,7 @@
 				}
 			}
 			h.setCaps(50, 50)
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range violations {
 			t.Errorf("seed %d: %s", seed, x)
--- a/pool/simchecks_test.go
+++ b/pool/simchecks_test.go
@@ -14,16 +14,16 @@
 )
 
 // checkStart reports every guarantee that a start violates. The lock must be held.
-func (sim *simulation) checkStart(l *life, by string, o work.Start) {
+func (sim *simulation) checkStart(l *incarnation, by string, o work.Start) {
 	n, ok := job.ParseName(o.Task)
-	spec := sim.asked[n.ID]
+	spec := sim.specs[n.ID]
 	if !ok || spec == nil {
 		sim.report("UNASKED %s run=%d on %s by %s", o.Task, o.Run, l.name, by)
 		return
 	}
 	sim.checkCap(l, spec.Organisation, by, o)
 	failed, crashed, excess := 0, 0, 0
-	for _, x := range sim.byTask[o.Task] {
+	for _, x := range sim.runsByTask[o.Task] {
 		if crashed >= simCrashBudget && x.starterInContact {
 			excess++
 		}
@@ -31,11 +31,11 @@
 			crashed++
 		}
 		switch {
-		case x.to.IsZero():
-			sim.report("TWICE %s run=%d on %s (%s) by %s while run=%d has been running on %s (%s) for %v", o.Task, o.Run, l.name, l.machine.zone, by, x.number, x.life.name, x.life.machine.zone, time.Since(x.startedAt))
-		case x.how == "done" && x.acked:
+		case x.endedAt.IsZero():
+			sim.report("TWICE %s run=%d on %s (%s) by %s while run=%d has been running on %s (%s) for %v", o.Task, o.Run, l.name, l.machine.zone, by, x.number, x.incarnation.name, x.incarnation.machine.zone, time.Since(x.startedAt))
+		case x.outcome == "done" && x.acked:
 			sim.report("TWICE %s run=%d on %s by %s after run=%d had succeeded and been acknowledged", o.Task, o.Run, l.name, by, x.number)
-		case x.how == "failed" && x.acked:
+		case x.outcome == "failed" && x.acked:
 			failed++
 		}
 	}
@@ -48,7 +48,7 @@
 	for _, after := range spec.Steps[n.Step].After {
 		for i := range spec.Steps[after].Count {
 			before := fmt.Sprintf("%s.%d.%d.%d", n.ID, n.Time, after, i)
-			if !slices.ContainsFunc(sim.byTask[before], func(x *taskRun) bool { return x.how == "done" }) {
+			if !slices.ContainsFunc(sim.runsByTask[before], func(x *taskRun) bool { return x.outcome == "done" }) {
 				sim.report("ORDER %s by %s before %s had succeeded", o.Task, by, before)
 			}
 		}
@@ -63,12 +63,12 @@
 
 // checkAcked reports runs that started after the run whose end is being acknowledged had succeeded. The lock must be held.
 func (sim *simulation) checkAcked(x *taskRun) {
-	if x.how != "done" {
+	if x.outcome != "done" {
 		return
 	}
-	for _, o := range sim.byTask[x.task] {
-		if o.startedAt.After(x.to) {
-			sim.report("TWICE %s run=%d on %s started after run=%d had succeeded on %s, which is acknowledged only now", x.task, o.number, o.life.name, x.number, x.life.name)
+	for _, o := range sim.runsByTask[x.task] {
+		if o.startedAt.After(x.endedAt) {
+			sim.report("TWICE %s run=%d on %s started after run=%d had succeeded on %s, which is acknowledged only now", x.task, o.number, o.incarnation.name, x.number, x.incarnation.name)
 		}
 	}
 }
@@ -77,8 +77,8 @@
 // The lock must be held.
 func (sim *simulation) checkPlannedEnd(x *taskRun, by string, delayed bool) {
 	n, _ := job.ParseName(x.task)
-	spec := sim.asked[n.ID]
-	if !x.to.IsZero() || x.stopping || spec == nil || !spec.Steps[n.Step].Lasting || time.Since(x.startedAt) < simWarmUp || !sim.cancelledAt[n.ID].IsZero() {
+	spec := sim.specs[n.ID]
+	if !x.endedAt.IsZero() || x.stopping || spec == nil || !spec.Steps[n.Step].Lasting || time.Since(x.startedAt) < simWarmUp || !sim.cancelledAt[n.ID].IsZero() {
 		return
 	}
 	x.plannedEnd = true
@@ -94,25 +94,25 @@
 		}
 	}
 	if len(away) >= step.MayMiss {
-		sim.report("AVAIL %s run=%d on %s ended by %s while these are away: %v", x.task, x.number, x.life.name, by, away)
+		sim.report("AVAIL %s run=%d on %s ended by %s while these are away: %v", x.task, x.number, x.incarnation.name, by, away)
 	}
 }
 
 // isAway reports whether a lasting task is away: an order has ended it, or it has not been at work for simNotice. The lock
 // must be held.
 func (sim *simulation) isAway(task string) bool {
-	runs := sim.byTask[task]
+	runs := sim.runsByTask[task]
 	var last time.Time
 	planned := false
 	for _, x := range runs {
-		if x.to.IsZero() && x.stopping {
+		if x.endedAt.IsZero() && x.stopping {
 			return true
 		}
-		if x.to.IsZero() && time.Since(x.startedAt) >= simWarmUp {
+		if x.endedAt.IsZero() && time.Since(x.startedAt) >= simWarmUp {
 			return false
 		}
-		if !x.to.IsZero() && x.to.Sub(x.startedAt) >= simWarmUp && x.to.After(last) {
-			last, planned = x.to, x.plannedEnd
+		if !x.endedAt.IsZero() && x.endedAt.Sub(x.startedAt) >= simWarmUp && x.endedAt.After(last) {
+			last, planned = x.endedAt, x.plannedEnd
 		}
 	}
 	return !last.IsZero() && (planned || time.Since(last) >= simNotice)
@@ -121,15 +121,15 @@
 // checkCancelled reports tasks that still run long after their job was cancelled, when there are no more faults. That
 // includes tasks that a worker started late and tasks whose starting leader is gone. The lock must be held.
 func (sim *simulation) checkCancelled() {
-	for task, runs := range sim.byTask {
+	for task, runs := range sim.runsByTask {
 		n, _ := job.ParseName(task)
 		cancelled := sim.cancelledAt[n.ID]
 		if cancelled.IsZero() || time.Since(cancelled) < simCancelTime+simStopTime {
 			continue
 		}
 		for _, x := range runs {
-			if x.to.IsZero() && time.Since(x.startedAt) > simContactGrace {
-				sim.report("UNASKED %s run=%d has been running on %s for %v although its job was cancelled %v ago", task, x.number, x.life.name, time.Since(x.startedAt), time.Since(cancelled))
+			if x.endedAt.IsZero() && time.Since(x.startedAt) > simContactGrace {
+				sim.report("UNASKED %s run=%d has been running on %s for %v although its job was cancelled %v ago", task, x.number, x.incarnation.name, time.Since(x.startedAt), time.Since(cancelled))
 			}
 		}
 	}
@@ -138,7 +138,7 @@
 // startedAfterCancel counts the runs that started after their job was cancelled. The lock must be held.
 func (sim *simulation) startedAfterCancel() int {
 	count := 0
-	for task, runs := range sim.byTask {
+	for task, runs := range sim.runsByTask {
 		n, _ := job.ParseName(task)
 		for _, x := range runs {
 			if at := sim.cancelledAt[n.ID]; !at.IsZero() && x.startedAt.After(at) {
--- a/pool/simdrains_test.go
+++ b/pool/simdrains_test.go
@@ -44,7 +44,7 @@
 
 // checkDrain reports a start in a data centre that was drained more than simDrainGrace ago. Starts that are carried out late
 // are not exempt, since each has a deadline. The lock must be held.
-func (sim *simulation) checkDrain(l *life, by string, o work.Start) {
+func (sim *simulation) checkDrain(l *incarnation, by string, o work.Start) {
 	at, drained := sim.drainedSince[l.machine.zone]
 	if drained && time.Since(at) > simDrainGrace && sim.inContact(by) {
 		sim.report("DRAIN %s run=%d on %s by %s: %s was drained %v ago", o.Task, o.Run, l.name, by, l.machine.zone, time.Since(at))
@@ -57,8 +57,8 @@
 func TestTakeoversKeepDrainedDataCentresFreeOfStarts(t *testing.T) {
 	for i := range *histories {
 		seed := *first + uint64(i)
-		_, violations := play(t, seed, func(h *history) {
-			h.answersAgain = seed%2 == 0
+		_, violations := runHistory(t, seed, func(h *history) {
+			h.repeatsBeforeFencing = seed%2 == 0
 			for n := range historySteps {
 				h.mu.Lock()
 				zone, change := fmt.Sprint("z", h.r.IntN(historyZones)), h.r.IntN(4) == 0
@@ -71,12 +71,12 @@
 				case change && !allButOne, n == 3:
 					h.setDrain(zone, true)
 				}
-				h.step()
+				h.randomStep()
 			}
 			for i := range historyZones {
 				h.setDrain(fmt.Sprint("z", i), false)
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range violations {
 			t.Errorf("seed %d: %s", seed, x)
--- a/pool/simmachines_test.go
+++ b/pool/simmachines_test.go
@@ -28,7 +28,7 @@
 			m := sim.machines[name]
 			switch {
 			case m == nil:
-				answers <- pool.ErrWave
+				answers <- pool.ErrNotInWave
 			case fence < m.fence:
 				answers <- pool.ErrFenced
 			default:
@@ -60,7 +60,7 @@
 				}
 				m.incarnation.terminate(entry+" with a move", delayed)
 				m.pool = to
-				sim.restart(m, modelAway)
+				sim.restart(m, simMoveTime)
 				return nil
 			})
 		},
@@ -75,7 +75,7 @@
 				sim.checkUpkeep(wave, name, entry)
 				m.incarnation.terminate(entry+" with an upkeep", delayed)
 				m.upkeepDone[wave], m.upkeepWave = true, wave
-				sim.restart(m, modelAway)
+				sim.restart(m, simMoveTime)
 				return nil
 			})
 		},
--- a/pool/simstore_test.go
+++ b/pool/simstore_test.go
@@ -110,7 +110,7 @@
 			answer := make(chan struct{})
 			err := store(ctx, func() {
 				sim.mu.Lock()
-				end, failed = sim.topic(name).append(b, sim.answersAgain)
+				end, failed = sim.topic(name).append(b, sim.repeatsBeforeFencing)
 				sim.mu.Unlock()
 				close(answer)
 			})
--- a/pool/simulation_test.go
+++ b/pool/simulation_test.go
@@ -25,18 +25,18 @@
 
 // Parameters of the simulated platform. Those that the users' interface bounds have the values of the tightest deployment.
 const (
-	modelLease = 6 * time.Second
+	simLease = 6 * time.Second
 	// simStopTime bounds how long a worker takes to carry out a stop.
 	simStopTime = 900 * time.Millisecond
 	// simNotice is how long a lasting task may be absent before it counts as away.
 	simNotice = 4500 * time.Millisecond
 	// simMoveTime is how long a move or an upkeep takes an instance down.
-	modelAway = 1500 * time.Millisecond
+	simMoveTime = 1500 * time.Millisecond
 	// simHeartbeat is the interval at which workers renew their entries in the list.
 	simHeartbeat = 1500 * time.Millisecond
 	// simCapacity is the CPU of an instance, simTaskCPU that of a task, in thousandths of a core.
 	simCapacity    = 4000
-	modelTask      = 1000
+	simTaskCPU     = 1000
 	simMaxAttempts = 3
 	// simWarmUp is how long a lasting task runs before it is at work.
 	simWarmUp = 300 * time.Millisecond
@@ -61,50 +61,50 @@
 // simulation is everything around the leaders: links, the store, workers and the machine interface. Its oracle judges by
 // what workers ran alone.
 type simulation struct {
-	mu          sync.Mutex
-	r           *rand.Rand
-	ctx         context.Context
-	topics      map[string]*topic
-	zones       map[string]string
-	partitions  []partition
-	frozen      map[string]time.Time
-	suspensions map[string]*suspensions
-	startedAt   time.Time // when the simulation began
-	killed      map[string]bool
-	lives       map[string]*life
-	machines    map[string]*machine
-	asked       map[string]*job.Spec
-	byTask      map[string][]*taskRun
-	waveLimits  map[int64]int
-	cancelledAt map[string]time.Time
-	wrong       []string
-	callCount   int
-	created     int
+	mu           sync.Mutex
+	r            *rand.Rand
+	ctx          context.Context
+	topics       map[string]*topic
+	zones        map[string]string
+	partitions   []partition
+	frozen       map[string]time.Time
+	suspensions  map[string]*suspensions
+	startedAt    time.Time // when the simulation began
+	killed       map[string]bool
+	incarnations map[string]*incarnation
+	machines     map[string]*machine
+	specs        map[string]*job.Spec
+	runsByTask   map[string][]*taskRun
+	waveLimits   map[int64]int
+	cancelledAt  map[string]time.Time
+	violations   []string
+	callCount    int
+	created      int
 	// repeatsBeforeFencing makes the store repeat its answer to a batch that it has already appended before it checks the
 	// writer's epoch.
-	answersAgain bool
+	repeatsBeforeFencing bool
 	// storeDownUntil is when the store's outage ends; storeLossRate is the share of its answers that are lost.
 	storeDownUntil time.Time
 	storeLossRate  float64
 	// corrupts reports whether the next list entry of a worker is truncated. No entry is when corrupts is nil.
-	spoils func(l *life) bool
+	corrupts func(l *incarnation) bool
 	// crashDelays holds the tasks that crash their worker, and how long after their start they do. The instance is back
 	// after simRestartDelay.
-	crashers map[string]time.Duration
+	crashDelays map[string]time.Duration
 	// lastDisrupted is when an entry last started, was frozen, or got no answer from the store. Time-bounded rules do not
 	// apply to it until simContactGrace has passed.
 	lastDisrupted map[string]time.Time
 	// capacity is the CPU and the memory of an instance. With acceptsOverload, workers start tasks beyond it.
-	capacity  int
-	unguarded bool
+	capacity        int
+	acceptsOverload bool
 	// maxExtraTime is the most that a task takes beyond 200 ms.
-	longest time.Duration
+	maxExtraTime time.Duration
 	// idReuseRate is the share of restarted workers that keep the ID of the incarnation before. When it is above 0, workers
 	// report their births; since clocks jump, a birth may be earlier than that of the incarnation before.
 	idReuseRate float64
 	// lateOrderRate is the share of orders that workers carry out late and do not answer.
-	lateShare float64
-	events    *event.Ring
+	lateOrderRate float64
+	events        *event.Ring
 	// caps holds the organisations' caps in each configuration so far, in tasks. While it is empty, jobs belong to no
 	// organisation.
 	caps []capsVersion
@@ -129,7 +129,7 @@
 // machine is an instance. It has at most one worker incarnation at a time.
 type machine struct {
 	name, pool, zone string
-	incarnation      *life
+	incarnation      *incarnation
 	fence            int64
 	busy             bool
 	// lastID is the worker ID of the latest incarnation. The next one may reuse it if that one crashes.
@@ -139,7 +139,7 @@
 }
 
 // incarnation is one process of a worker, from its start to its end, with its own clock.
-type life struct {
+type incarnation struct {
 	name          string
 	machine       *machine
 	pool          string
@@ -168,13 +168,13 @@
 
 // taskRun is one run of a task.
 type taskRun struct {
-	task          string
-	number        int64
-	life          *life
-	startedAt, to time.Time
-	how           string
-	endNumber     int64
-	acked         bool
+	task               string
+	number             int64
+	incarnation        *incarnation
+	startedAt, endedAt time.Time
+	outcome            string
+	endNumber          int64
+	acked              bool
 	// voided says that the worker's lease expired after the run had ended and before that was acknowledged. The end then
 	// never counts.
 	voided bool
@@ -189,13 +189,13 @@
 func newSimulation(ctx context.Context, r *rand.Rand, zones, workers int, idReuseRate float64) *simulation {
 	sim := &simulation{
 		r: r, ctx: ctx, startedAt: time.Now(), events: new(event.Ring),
-		capacity: simCapacity, idReuseRate: idReuseRate, longest: 2500 * time.Millisecond,
+		capacity: simCapacity, idReuseRate: idReuseRate, maxExtraTime: 2500 * time.Millisecond,
 		topics: make(map[string]*topic), zones: make(map[string]string),
 		frozen: make(map[string]time.Time), suspensions: make(map[string]*suspensions),
 		lastDisrupted: make(map[string]time.Time), killed: make(map[string]bool),
-		lives: make(map[string]*life), machines: make(map[string]*machine),
-		asked: make(map[string]*job.Spec), byTask: make(map[string][]*taskRun),
-		waveLimits: make(map[int64]int), crashers: make(map[string]time.Duration),
+		incarnations: make(map[string]*incarnation), machines: make(map[string]*machine),
+		specs: make(map[string]*job.Spec), runsByTask: make(map[string][]*taskRun),
+		waveLimits: make(map[int64]int), crashDelays: make(map[string]time.Duration),
 		cancelledAt: make(map[string]time.Time), drainedSince: make(map[string]time.Time),
 	}
 	for i := range zones * workers {
@@ -215,7 +215,7 @@
 
 // report records a violation. The lock must be held.
 func (sim *simulation) report(format string, args ...any) {
-	sim.wrong = append(sim.wrong, fmt.Sprintf("%8s ", time.Duration(time.Now().UnixMilli()%1e6)*time.Millisecond)+fmt.Sprintf(format, args...))
+	sim.violations = append(sim.violations, fmt.Sprintf("%8s ", time.Duration(time.Now().UnixMilli()%1e6)*time.Millisecond)+fmt.Sprintf(format, args...))
 }
 
 // startIncarnation starts a worker on an instance. The lock must be held.
@@ -226,11 +226,11 @@
 	}
 	sim.created++
 	name := fmt.Sprintf("i-%04d", sim.created)
-	before := sim.lives[m.lastID]
+	before := sim.incarnations[m.lastID]
 	if before != nil && sim.chance(sim.idReuseRate) {
 		name = m.lastID
 	}
-	l := &life{
+	l := &incarnation{
 		name: name, machine: m, pool: m.pool, sim: sim, startedAt: time.Now(), clockRate: simSlowestClock + 0.025*sim.r.Float64(),
 		runEnded: make(chan struct{}), stoppedRuns: make(map[string]int64),
 	}
@@ -241,7 +241,7 @@
 		l.staleEntry, l.heartbeatAt = before.listed || before.staleEntry, before.heartbeatAt
 	}
 	m.incarnation, m.lastID = l, name
-	sim.lives[l.name] = l
+	sim.incarnations[l.name] = l
 	sim.zones[l.name] = m.zone
 }
 
@@ -256,7 +256,7 @@
 	for sim.ctx.Err() == nil {
 		sim.mu.Lock()
 		now := time.Now()
-		for _, l := range sim.lives {
+		for _, l := range sim.incarnations {
 			_, closed := sim.closed(l.name, simStore)
 			switch {
 			case now.Before(sim.storeDownUntil):
@@ -265,7 +265,7 @@
 					"machine": l.machine.name, "pool": l.pool, "zone": l.machine.zone,
 					"room": strconv.Itoa(sim.capacity - l.capacityLoss), "birth": strconv.FormatInt(int64(l.birth), 10),
 				})
-				if sim.spoils != nil && sim.spoils(l) {
+				if sim.corrupts != nil && sim.corrupts(l) {
 					b = b[:len(b)/2]
 				}
 				l.listed, l.staleEntry, l.heartbeatAt = true, false, now
@@ -296,7 +296,7 @@
 	}
 	return work.Worker{
 		Life: name, ID: name, Birth: work.Birth(born), Machine: x["machine"], Pool: x["pool"], DataCentre: x["zone"], Address: name,
-		Room: job.Need{MilliCPU: room, MemoryMB: room},
+		Capacity: job.Need{MilliCPU: room, MemoryMB: room},
 	}, nil
 }
 
@@ -430,8 +430,8 @@
 		PutWave: func(ctx context.Context, wave int64, done bool) error { return nil },
 	}
 	s.SetBounds(pool.Bounds{
-		Lease: modelLease, Stop: simStopTime, Status: 10 * time.Minute,
-		Upkeep: modelAway, Move: modelAway, Notice: simNotice, Harm: 4 * time.Second,
+		Lease: simLease, Stop: simStopTime, Status: 10 * time.Minute,
+		Upkeep: simMoveTime, Move: simMoveTime, MaxAbsence: simNotice, MaxOverTarget: 4 * time.Second,
 	})
 	s.SetCatalog(&job.Catalog{
 		Version: 1,
--- a/pool/simworkers_test.go
+++ b/pool/simworkers_test.go
@@ -16,15 +16,15 @@
 
 // workerCalls returns the calls to workers as an entry makes them.
 func (sim *simulation) workerCalls(entry string) work.Calls {
-	order := func(ctx context.Context, x *work.Worker, exec func(l *life, delayed bool) work.Answer) (work.Answer, error) {
+	order := func(ctx context.Context, x *work.Worker, exec func(l *incarnation, delayed bool) work.Answer) (work.Answer, error) {
 		answers := make(chan *work.Answer, 1)
 		sim.mu.Lock()
-		late := sim.lateShare
+		late := sim.lateOrderRate
 		sim.mu.Unlock()
-		rejection, err := sim.callWorker(ctx, entry, x, late, func(to *life, delayed bool) {
+		rejection, err := sim.callWorker(ctx, entry, x, late, func(to *incarnation, delayed bool) {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			answers <- sim.dispatch(x.ID, to, func(l *life) work.Answer { return exec(l, delayed) })
+			answers <- sim.dispatch(x.ID, to, func(l *incarnation) work.Answer { return exec(l, delayed) })
 		})
 		switch {
 		case rejection != nil:
@@ -41,15 +41,15 @@
 	}
 	return work.Calls{
 		Start: func(ctx context.Context, x *work.Worker, o work.Start) (work.Answer, error) {
-			return order(ctx, x, func(l *life, _ bool) work.Answer { return l.start(entry, o) })
+			return order(ctx, x, func(l *incarnation, _ bool) work.Answer { return l.start(entry, o) })
 		},
 		Stop: func(ctx context.Context, x *work.Worker, o work.Stop) (work.Answer, error) {
-			return order(ctx, x, func(l *life, delayed bool) work.Answer { return l.stop(entry, o, delayed) })
+			return order(ctx, x, func(l *incarnation, delayed bool) work.Answer { return l.stop(entry, o, delayed) })
 		},
 		Pace: func(context.Context, *work.Worker, work.Pace) (work.Answer, error) { return work.Answer{}, nil },
 		Hold: func(ctx context.Context, x *work.Worker, o work.Hold) (work.Report, error) {
 			reports := make(chan *work.Report, 1)
-			rejection, err := sim.callWorker(ctx, entry, x, 0, func(to *life, _ bool) { reports <- sim.hold(x.ID, to, o) })
+			rejection, err := sim.callWorker(ctx, entry, x, 0, func(to *incarnation, _ bool) { reports <- sim.hold(x.ID, to, o) })
 			switch {
 			case rejection != nil:
 				return work.Report{Answer: *rejection}, nil
@@ -70,9 +70,9 @@
 // callWorker makes a call to a worker as the adapter does: on a connection to one process, which must be the incarnation that
 // the call is for. While the worker is down, nothing accepts connections. A call that is carried out late reaches whichever
 // incarnation has the ID then, so exec gets nil instead of an incarnation.
-func (sim *simulation) callWorker(ctx context.Context, entry string, x *work.Worker, late float64, exec func(to *life, delayed bool)) (rejection *work.Answer, err error) {
+func (sim *simulation) callWorker(ctx context.Context, entry string, x *work.Worker, late float64, exec func(to *incarnation, delayed bool)) (rejection *work.Answer, err error) {
 	sim.mu.Lock()
-	to := sim.lives[x.ID]
+	to := sim.incarnations[x.ID]
 	_, cutOff := sim.closed(entry, x.ID)
 	down := sim.isDown(to)
 	sim.mu.Unlock()
@@ -81,7 +81,7 @@
 		return nil, errUnsent
 	case x.Birth == 0 || to == nil || to.birth == x.Birth:
 	case cutOff:
-		to = new(life) // an old connection, or one made when the partition ends: no other incarnation gets the call
+		to = new(incarnation) // an old connection, or one made when the partition ends: no other incarnation gets the call
 	default:
 		return &work.Answer{Refusal: work.OtherLife, Birth: to.birth}, nil
 	}
@@ -96,8 +96,8 @@
 
 // dispatch hands an order to the incarnation that has the ID. It returns nil if the connection was to another incarnation, or
 // if the worker is down. The lock must be held.
-func (sim *simulation) dispatch(id string, to *life, exec func(l *life) work.Answer) *work.Answer {
-	l := sim.lives[id]
+func (sim *simulation) dispatch(id string, to *incarnation, exec func(l *incarnation) work.Answer) *work.Answer {
+	l := sim.incarnations[id]
 	switch {
 	case sim.isDown(l), to != nil && to != l:
 		return nil
@@ -110,17 +110,17 @@
 
 // isDown reports whether an incarnation has crashed and no other has its ID yet. It is false unless IDs are reused. The lock
 // must be held.
-func (sim *simulation) isDown(l *life) bool {
-	return sim.idReuseRate > 0 && l != nil && l.dead && sim.lives[l.name] == l
+func (sim *simulation) isDown(l *incarnation) bool {
+	return sim.idReuseRate > 0 && l != nil && l.dead && sim.incarnations[l.name] == l
 }
 
 // clock reads the worker's own clock.
-func (l *life) clock() work.Clock {
+func (l *incarnation) clock() work.Clock {
 	return work.Clock(float64(time.Since(l.startedAt).Microseconds())*l.clockRate/1000) + 1
 }
 
 // rejectsToken raises the worker's fencing token, or reports that the given one is lower.
-func (l *life) rejectsToken(fence int64) bool {
+func (l *incarnation) rejectsToken(fence int64) bool {
 	if fence < l.fence {
 		return true
 	}
@@ -129,7 +129,7 @@
 }
 
 // knownCapacityLoss returns by how much the capacity has shrunk as far as every leader must know.
-func (l *life) knownCapacityLoss() int {
+func (l *incarnation) knownCapacityLoss() int {
 	if time.Since(l.listedLossAt) < simContactGrace+simHeartbeat {
 		return min(l.previousLoss, l.listedLoss)
 	}
@@ -138,22 +138,24 @@
 
 // setCapacityLoss sets by how much the worker's capacity has shrunk. The list shows it once the worker reaches the store. The
 // lock must be held.
-func (l *life) shrink(loss int) {
+func (l *incarnation) setCapacityLoss(loss int) {
 	l.capacityLoss, l.listed = loss, false
 }
 
 // recordListedLoss records which capacity the list shows from now on.
-func (l *life) recordListedLoss(now time.Time) {
+func (l *incarnation) recordListedLoss(now time.Time) {
 	if l.listedLoss != l.capacityLoss {
 		l.previousLoss, l.listedLoss, l.listedLossAt = l.knownCapacityLoss(), l.capacityLoss, now
 	}
 }
 
-func (l *life) answer(r work.Refusal) work.Answer { return work.Answer{Refusal: r, Clock: l.clock()} }
+func (l *incarnation) answer(r work.Refusal) work.Answer {
+	return work.Answer{Refusal: r, Clock: l.clock()}
+}
 
 // extendLease moves the end of the lease to the deadline, but never back and to at most a lease's length from now.
-func (l *life) extendLease(deadline work.Clock) {
-	if d := min(int64(deadline), int64(l.clock())+modelLease.Milliseconds()); d > l.leaseDeadline {
+func (l *incarnation) extendLease(deadline work.Clock) {
+	if d := min(int64(deadline), int64(l.clock())+simLease.Milliseconds()); d > l.leaseDeadline {
 		l.leaseDeadline = d
 		if l.leaseTimer != nil {
 			l.leaseTimer.Stop()
@@ -171,57 +173,57 @@
 }
 
 // expireLease ends all runs, since the lease has expired. The lock must be held.
-func (l *life) expireLease() {
+func (l *incarnation) expireLease() {
 	for _, x := range l.runs {
-		x.voided = x.voided || (!x.to.IsZero() && !x.acked)
+		x.voided = x.voided || (!x.endedAt.IsZero() && !x.acked)
 		x.end("lapsed")
 	}
 }
 
 // end ends a run. The lock must be held.
 func (x *taskRun) end(how string) {
-	if !x.to.IsZero() {
+	if !x.endedAt.IsZero() {
 		return
 	}
 	if x.timer != nil {
 		x.timer.Stop()
 	}
-	x.to, x.how = time.Now(), how
-	x.life.lastEnd++
-	x.endNumber = x.life.lastEnd
-	close(x.life.runEnded)
-	x.life.runEnded = make(chan struct{})
+	x.endedAt, x.outcome = time.Now(), how
+	x.incarnation.lastEnd++
+	x.endNumber = x.incarnation.lastEnd
+	close(x.incarnation.runEnded)
+	x.incarnation.runEnded = make(chan struct{})
 }
 
 // start carries out an order to start a run. The lock must be held.
-func (l *life) start(by string, o work.Start) work.Answer {
+func (l *incarnation) start(by string, o work.Start) work.Answer {
 	sim := l.sim
 	if l.rejectsToken(o.Fence) {
 		return l.answer(work.Fenced)
 	}
 	if o.Deadline > 0 && o.Deadline < l.clock() {
-		return l.answer(work.Late)
+		return l.answer(work.DeadlinePassed)
 	}
 	l.extendLease(o.Deadline)
 	used := 0
 	for _, x := range l.runs {
 		switch {
-		case x.task == o.Task && x.number == o.Run && x.to.IsZero():
-			return l.answer(work.Done)
-		case x.task == o.Task && !x.to.IsZero() && o.Run <= x.number:
-			return l.answer(work.Old)
-		case x.to.IsZero():
-			used += modelTask
+		case x.task == o.Task && x.number == o.Run && x.endedAt.IsZero():
+			return l.answer(work.Accepted)
+		case x.task == o.Task && !x.endedAt.IsZero() && o.Run <= x.number:
+			return l.answer(work.OldRun)
+		case x.endedAt.IsZero():
+			used += simTaskCPU
 		}
 	}
 	switch {
 	case o.Run <= l.stoppedRuns[o.Task]:
-		return l.answer(work.Old)
-	case !sim.unguarded && used+modelTask > sim.capacity-l.capacityLoss:
+		return l.answer(work.OldRun)
+	case !sim.acceptsOverload && used+simTaskCPU > sim.capacity-l.capacityLoss:
 		return l.answer(work.NoRoom)
-	case used+modelTask > sim.capacity:
+	case used+simTaskCPU > sim.capacity:
 		sim.report("LIMIT %s run=%d on %s by %s: %d of %d milliCPU were in use", o.Task, o.Run, l.name, by, used, sim.capacity)
-	case used+modelTask > sim.capacity-l.knownCapacityLoss() && sim.inContact(by):
+	case used+simTaskCPU > sim.capacity-l.knownCapacityLoss() && sim.inContact(by):
 		sim.report("LIMIT %s run=%d on %s by %s: %d of %d milliCPU were in use", o.Task, o.Run, l.name, by, used, sim.capacity-l.knownCapacityLoss())
 	}
 	sim.checkStart(l, by, o)
@@ -229,14 +231,14 @@
 	if sim.tracef != nil {
 		sim.tracef("START %s run=%d on %s (%s) by %s", o.Task, o.Run, l.name, l.machine.zone, by)
 	}
-	x := &taskRun{task: o.Task, number: o.Run, life: l, startedAt: time.Now(), starterInContact: sim.inContact(by)}
+	x := &taskRun{task: o.Task, number: o.Run, incarnation: l, startedAt: time.Now(), starterInContact: sim.inContact(by)}
 	l.runs = append(l.runs, x)
-	sim.byTask[o.Task] = append(sim.byTask[o.Task], x)
-	if after, ok := sim.crashers[o.Task]; ok {
+	sim.runsByTask[o.Task] = append(sim.runsByTask[o.Task], x)
+	if after, ok := sim.crashDelays[o.Task]; ok {
 		x.timer = time.AfterFunc(after, func() {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			if x.to.IsZero() && !l.dead {
+			if x.endedAt.IsZero() && !l.dead {
 				x.crashedWorker = true
 				sim.crash(l.machine, simRestartDelay)
 			}
@@ -252,29 +254,29 @@
 			x.end("done")
 		})
 	}
-	return l.answer(work.Done)
+	return l.answer(work.Accepted)
 }
 
 // drawDuration returns how long a run of the task takes, 0 for a lasting one, and whether it fails.
 func (sim *simulation) drawDuration(task string) (time.Duration, bool) {
 	n, _ := job.ParseName(task)
-	if s := sim.asked[n.ID]; s == nil || s.Steps[n.Step].Lasting {
+	if s := sim.specs[n.ID]; s == nil || s.Steps[n.Step].Lasting {
 		return 0, false
 	}
-	if len(sim.byTask[task]) == 1 && sim.r.IntN(8) == 0 {
+	if len(sim.runsByTask[task]) == 1 && sim.r.IntN(8) == 0 {
 		return 200 * time.Millisecond, true
 	}
-	return 200*time.Millisecond + time.Duration(sim.r.Int64N(int64(sim.longest))), false
+	return 200*time.Millisecond + time.Duration(sim.r.Int64N(int64(sim.maxExtraTime))), false
 }
 
 // stop carries out an order to stop a run. The lock must be held.
-func (l *life) stop(by string, o work.Stop, delayed bool) work.Answer {
+func (l *incarnation) stop(by string, o work.Stop, delayed bool) work.Answer {
 	if l.rejectsToken(o.Fence) {
 		return l.answer(work.Fenced)
 	}
 	l.stoppedRuns[o.Task] = max(l.stoppedRuns[o.Task], o.Run)
 	for _, x := range l.runs {
-		if x.task == o.Task && x.number == o.Run && x.to.IsZero() {
+		if x.task == o.Task && x.number == o.Run && x.endedAt.IsZero() {
 			l.sim.checkPlannedEnd(x, by+" with a stop", delayed)
 			x.stopping = true
 			time.AfterFunc(time.Duration(l.sim.r.Int64N(int64(simStopTime))), func() {
@@ -284,14 +286,14 @@
 			})
 		}
 	}
-	return l.answer(work.Done)
+	return l.answer(work.Accepted)
 }
 
 // hold answers a hold call: it extends the lease, records acknowledged ends, and waits for the next end. It returns nil if
 // the connection breaks.
-func (sim *simulation) hold(id string, to *life, o work.Hold) *work.Report {
+func (sim *simulation) hold(id string, to *incarnation, o work.Hold) *work.Report {
 	sim.mu.Lock()
-	l := sim.lives[id]
+	l := sim.incarnations[id]
 	if sim.isDown(l) || (to != nil && to != l) {
 		sim.mu.Unlock()
 		return nil
@@ -330,27 +332,27 @@
 	case l.dead:
 		return &work.Report{Answer: work.Answer{Refusal: work.OtherLife}}
 	}
-	rep := &work.Report{Answer: l.answer(work.Done)}
+	rep := &work.Report{Answer: l.answer(work.Accepted)}
 	rep.Birth = l.birth
 	for _, x := range l.runs {
 		switch {
-		case x.to.IsZero():
-			row := work.Row{Task: x.task, Run: x.number, Percent: 50}
+		case x.endedAt.IsZero():
+			row := work.RunStatus{Task: x.task, Run: x.number, Percent: 50}
 			if time.Since(x.startedAt) > simWarmUp {
 				row.Percent = 100
 			}
 			rep.Running = append(rep.Running, row)
 		case x.endNumber > l.acked:
-			how := map[string]work.How{"done": work.Succeeded, "failed": work.Failed, "stopped": work.Stopped, "lapsed": work.Lapsed}[x.how]
-			rep.Ended = append(rep.Ended, work.End{N: x.endNumber, Task: x.task, Run: x.number, How: how})
+			how := map[string]work.Outcome{"done": work.Succeeded, "failed": work.Failed, "stopped": work.Stopped, "lapsed": work.Lapsed}[x.outcome]
+			rep.Ended = append(rep.Ended, work.EndedRun{Seq: x.endNumber, Task: x.task, Run: x.number, Outcome: how})
 		}
 	}
-	slices.SortFunc(rep.Ended, func(a, b work.End) int { return int(a.N - b.N) })
+	slices.SortFunc(rep.Ended, func(a, b work.EndedRun) int { return int(a.Seq - b.Seq) })
 	return rep
 }
 
 // terminate ends an incarnation and all its runs. The lock must be held.
-func (l *life) terminate(by string, delayed bool) {
+func (l *incarnation) terminate(by string, delayed bool) {
 	if l == nil || l.dead {
 		return
 	}
--- a/pool/size.go
+++ b/pool/size.go
@@ -21,11 +21,11 @@
 	// moveArrivalMargin is added to the stated duration of a move as the time limit for an instance to appear in its new pool.
 	moveArrivalMargin = 4 * time.Second
 	// localStateTTL is how long the state of an instance that this leader has moved takes precedence over the machine interface's list.
-	ownWord = 3 * time.Second
+	localStateTTL = 3 * time.Second
 )
 
 // pendingMove is the move of an instance to another pool.
-type moveStep struct {
+type pendingMove struct {
 	to, life string
 	since    time.Time
 	// inFlight means that a call is in progress, moved that the move has succeeded, queued that the call waits for the rate limit.
@@ -35,10 +35,10 @@
 
 // sizePools moves instances between pools according to their load.
 func (c *session) sizePools(now time.Time) {
-	if c.config == nil || c.machinesRead.IsZero() || now.Before(c.aloneFrom) {
+	if c.config == nil || c.machinesListedAt.IsZero() || now.Before(c.soleLeaderFrom) {
 		return
 	}
-	if c.storeFails(now) {
+	if c.storeFailing(now) {
 		c.cancelUnsentMoves()
 		return
 	}
@@ -74,11 +74,11 @@
 		}
 		w := c.workerOn(name)
 		switch {
-		case w != nil && !w.out && (w.Leaving || w.misread || !w.silentSince.IsZero()):
+		case w != nil && !w.beingEmptied && (w.Leaving || w.unreadable || !w.silentSince.IsZero()):
 			continue // it can't run new tasks
 		case w != nil:
 			x.Runs = len(w.runs)
-			x.Fixed = x.Fixed || !w.heard || !w.listed
+			x.Fixed = x.Fixed || !w.answered || !w.listed
 			x.Lasting = w.room.Serving + w.room.Filling
 		case !c.config.Pools[x.Pool].Headroom && c.moves[name] == nil && m.State != MachineMoving:
 			// The instance is down, or has been unreachable for longer than its lease and its entry in the list lasted. Such instances must not
@@ -110,19 +110,19 @@
 func (c *session) logSizes(rows map[string]*upkeep.Pool, now time.Time) {
 	for name, row := range rows {
 		p := c.pool(name)
-		if row.Headroom || now.Sub(p.toldAt) < sizeLogInterval || !changedSignificantly(p.told, *row) {
+		if row.Headroom || now.Sub(p.loggedAt) < sizeLogInterval || !changedSignificantly(p.loggedSize, *row) {
 			continue
 		}
-		p.told, p.toldAt = *row, now
-		need, used, known := c.turns.Whole(name, now)
+		p.loggedSize, p.loggedAt = *row, now
+		need, used, known := c.turns.FullDemand(name, now)
 		c.emit(event.PoolSized, event.Subject{Entry: c.Entry}, "pool=%s have=%d want=%.0f keep=%.0f idle=%.0f soon=%.0f lasting=%.0f running=%.0f waiting=%.0f turn=%.0f used=%.0f known=%t",
-			name, row.Have, row.Want, row.Keep, row.Idle, row.Soon, p.load.lasting, p.load.running, p.load.waitingCapacity, need, used, known)
+			name, row.Have, row.Want, row.Min, row.LongTermNeed, row.SoonNeed, p.load.lasting, p.load.running, p.load.waitingCapacity, need, used, known)
 	}
 }
 
 // changedSignificantly reports whether any of the pool's targets or its size has changed by more than an eighth and by at least two instances.
 func changedSignificantly(before, now upkeep.Pool) bool {
-	for _, x := range [...][2]float64{{before.Want, now.Want}, {before.Idle, now.Idle}, {before.Soon, now.Soon}, {float64(before.Have), float64(now.Have)}} {
+	for _, x := range [...][2]float64{{before.Want, now.Want}, {before.LongTermNeed, now.LongTermNeed}, {before.SoonNeed, now.SoonNeed}, {float64(before.Have), float64(now.Have)}} {
 		if change := math.Abs(x[0] - x[1]); change >= 2 && change > max(x[0], x[1])/8 {
 			return true
 		}
@@ -133,10 +133,10 @@
 // instanceNames returns the sorted names of all instances. Ties between equivalent instances are broken by this order, so that each pass chooses the
 // same one.
 func (c *session) instanceNames() []string {
-	if len(c.names) != len(c.machines) {
-		c.names = slices.Sorted(maps.Keys(c.machines))
+	if len(c.machineNames) != len(c.machines) {
+		c.machineNames = slices.Sorted(maps.Keys(c.machines))
 	}
-	return c.names
+	return c.machineNames
 }
 
 // immovable reports whether an instance is already moving, or has recently failed to move.
@@ -152,7 +152,7 @@
 
 // inWave reports whether an instance is being emptied for its maintenance or is under maintenance.
 func (c *session) inWave(machine string) bool {
-	for _, row := range c.waveRows {
+	for _, row := range c.waveStates {
 		if row.steps[machine] != nil {
 			return true
 		}
@@ -162,9 +162,9 @@
 
 // startMove starts to move an instance out of its pool: its worker gets no new tasks.
 func (c *session) startMove(m upkeep.Move, now time.Time) {
-	s := &moveStep{to: m.To, since: now}
+	s := &pendingMove{to: m.To, since: now}
 	if w := c.workerOn(m.Instance); w != nil {
-		w.out = true
+		w.beingEmptied = true
 		s.life = w.Life
 	}
 	c.moves[m.Instance] = s
@@ -173,7 +173,7 @@
 
 // advanceMoves continues the pending moves: those into pools that serve load first, then those into the headroom pool.
 func (c *session) advanceMoves(now time.Time) {
-	c.desk.denied = false
+	c.machineCalls.denied = false
 	for _, parks := range [...]bool{false, true} {
 		for machine, s := range c.moves {
 			if c.config.Pools[s.to].Headroom == parks {
@@ -201,14 +201,14 @@
 	}
 }
 
-func (c *session) advanceMove(machine string, s *moveStep, now time.Time) {
+func (c *session) advanceMove(machine string, s *pendingMove, now time.Time) {
 	switch {
 	case s.inFlight || now.Before(s.notBefore):
 	case s.moved:
 		c.checkArrival(machine, s, now)
 	case s.life != "" && c.workers[s.life] == nil:
 		c.postponeMove(machine, s) // the incarnation was removed in the meantime, and it is not known what runs on the instance now
-	case c.workers[s.life] != nil && !c.workers[s.life].empty():
+	case c.workers[s.life] != nil && !c.workers[s.life].hasNoRuns():
 		if now.Sub(s.since) > shortWorkGrace {
 			c.postponeMove(machine, s) // its tasks take too long to end; another instance may be moved instead
 		}
@@ -219,9 +219,9 @@
 
 // checkArrival completes the move once the instance has reported from its new pool, or has had the time to power off in the headroom pool. It gives
 // up waiting after moveArrivalMargin.
-func (c *session) checkArrival(machine string, s *moveStep, now time.Time) {
+func (c *session) checkArrival(machine string, s *pendingMove, now time.Time) {
 	w := c.listedWorkerOn(machine)
-	arrived := w != nil && w.Life != s.life && w.heard
+	arrived := w != nil && w.Life != s.life && w.answered
 	off := c.config.Pools[s.to].Headroom && now.Sub(s.since) > c.Bounds().Move
 	if arrived || off || now.Sub(s.since) > c.Bounds().Move+moveArrivalMargin {
 		delete(c.moves, machine)
@@ -229,34 +229,34 @@
 }
 
 // cancelMove leaves the instance in its pool.
-func (c *session) cancelMove(machine string, s *moveStep) {
+func (c *session) cancelMove(machine string, s *pendingMove) {
 	if w := c.workers[s.life]; w != nil {
-		w.out = false
-		c.dirtyPool(w.Pool)
+		w.beingEmptied = false
+		c.markPoolDirty(w.Pool)
 	}
 	delete(c.moves, machine)
 }
 
 // postponeMove cancels the move and excludes the instance from moves for moveRetryPause.
-func (c *session) postponeMove(machine string, s *moveStep) {
+func (c *session) postponeMove(machine string, s *pendingMove) {
 	c.cancelMove(machine, s)
 	c.unmovable[machine] = c.now().Add(moveRetryPause)
 }
 
-func (c *session) requestMove(machine string, s *moveStep) {
+func (c *session) requestMove(machine string, s *pendingMove) {
 	now := c.now()
 	if !c.confirmed(now) {
 		return
 	}
-	s.queued = !c.desk.take(c.Machines.PerSecond, now)
+	s.queued = !c.machineCalls.tryAcquire(c.Machines.PerSecond, now)
 	if s.queued {
 		return
 	}
 	s.inFlight = true
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
-		err := c.whileConfirmed(func() error { return c.Machines.Move(ctx, machine, s.to, c.term.Fence) })
+		err := c.callIfConfirmed(func() error { return c.Machines.Move(ctx, machine, s.to, c.term.Fence) })
 		c.post(moveAnswered{machine: machine, step: s, err: err})
 	})
 }
@@ -264,7 +264,7 @@
 // moveAnswered is the result of a call to move an instance.
 type moveAnswered struct {
 	machine string
-	step    *moveStep
+	step    *pendingMove
 	err     error
 }
 
@@ -272,9 +272,9 @@
 	s := m.step
 	s.inFlight = false
 	now := c.now()
-	c.desk.done()
+	c.machineCalls.release()
 	defer func() {
-		if c.desk.denied {
+		if c.machineCalls.denied {
 			c.advanceMoves(now)
 		}
 	}()
@@ -286,20 +286,20 @@
 		from := x.Pool
 		x.Pool, x.State, x.ID = s.to, MachineUp, ""
 		c.machines[m.machine] = x
-		c.ownWord[m.machine] = now
+		c.movedAt[m.machine] = now
 		if w := c.workers[s.life]; w != nil {
-			c.lose(w, "its instance was moved")
+			c.endLife(w, "its instance was moved")
 		}
 		c.counts.moves.Inc(1)
 		c.emit(event.MachineMoved, event.Subject{Instance: m.machine}, "from=%s to=%s", from, s.to)
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
 	case errors.Is(m.err, ErrTooMany):
-		c.desk.rest(now)
+		c.machineCalls.pause(now)
 		if s.notBefore.IsZero() {
 			c.cancelMove(m.machine, s) // decided again when the interface accepts calls
 		}
-	case errors.Is(m.err, ErrBusy), errors.Is(m.err, ErrWave):
+	case errors.Is(m.err, ErrBusy), errors.Is(m.err, ErrNotInWave):
 		c.emit(event.UpkeepRefused, event.Subject{Instance: m.machine}, "move to=%s err=%q", s.to, m.err)
 		c.postponeMove(m.machine, s)
 	default: // the move may have been carried out; repeating the call is harmless
--- a/pool/size_test.go
+++ b/pool/size_test.go
@@ -22,11 +22,11 @@
 		t.Run(fmt.Sprint(fails), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
-				b := newBench(c, nil, "w1")
+				b := newFixture(c, nil, "w1")
 				b.config.Pools = map[string]job.Pool{"p": {}, "spare": {Headroom: true}}
 				b.machines["m-w1"] = Machine{Name: "m-w1", Pool: "p", ID: "w1"}
 				var moved, maintained atomic.Int64 // calls are concurrent
-				wave := Wave{Number: 1, Most: 1, Within: time.Minute}
+				wave := Wave{Number: 1, MaxAway: 1, Within: time.Minute}
 				for i := range 4 {
 					m := fmt.Sprintf("off%d", i)
 					b.machines[m] = Machine{Name: m, Pool: "spare"}
@@ -35,16 +35,16 @@
 				b.Machines.Move = func(context.Context, string, string, int64) error { moved.Add(1); return nil }
 				b.Machines.Upkeep = func(context.Context, string, int64, int64) error { maintained.Add(1); return nil }
 				b.PutWave = func(context.Context, int64, bool) error { return nil }
-				b.machinesRead = time.Now()
-				waveRead{wave: wave}.apply(b.session)
-				b.pool("p").handed = []handed{{at: time.Now(), work: 3}}
-				b.committing, b.inFlight, b.commitSince = fails, &commitEnded{}, time.Now().Add(-time.Second)
+				b.machinesListedAt = time.Now()
+				waveRequested{wave: wave}.apply(b.session)
+				b.pool("p").recentWork = []submission{{at: time.Now(), work: 3}}
+				b.committing, b.inFlight, b.commitStartedAt = fails, &commitBatch{}, time.Now().Add(-time.Second)
 				for range 3 {
 					b.runWaves(time.Now())
 					b.sizePools(time.Now())
 					synctest.Wait()
 					if !fails {
-						b.keeps() // maintenance is requested only after the request is stored
+						b.commitAll() // maintenance is requested only after the request is stored
 					}
 				}
 				c.Assert(moved.Load() > 0, quicktest.Equals, !fails)
--- a/pool/slowlink_test.go
+++ b/pool/slowlink_test.go
@@ -54,7 +54,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
-				b := newBench(c, nil)
+				b := newFixture(c, nil)
 				b.LinkPerSecond = x.link
 				link := &sharedLink{perSecond: x.link}
 				topic := feed.Topic{
@@ -69,7 +69,7 @@
 				for range topics - 2 {
 					b.Intake = append(b.Intake, topic)
 				}
-				b.fresh, b.intakeEnd = make([]time.Time, topics-2), make([]int64, topics-2)
+				b.intakeReadUntil, b.intakeOffsets = make([]time.Time, topics-2), make([]int64, topics-2)
 				done := make(chan struct{})
 				began := time.Now()
 				go func() {
@@ -109,9 +109,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
 				j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 200, Need: job.Need{MilliCPU: 10}}}}, time.Now())
-				b := newBench(c, []*job.Job{j}, "w1")
+				b := newFixture(c, []*job.Job{j}, "w1")
 				b.LinkPerSecond = x.link
-				b.reports("w1", 10, nil)
+				b.report("w1", 10, nil)
 				var mu sync.Mutex
 				underWay, peak, total := 0, 0, 0
 				b.Calls.Start = func(ctx context.Context, _ *work.Worker, _ work.Start) (work.Answer, error) {
@@ -125,19 +125,19 @@
 					mu.Unlock()
 					return work.Answer{Clock: 20}, nil
 				}
-				c.Assert(b.ordered(), quicktest.Equals, 200)
-				b.keeps()
+				c.Assert(b.placeAndCount(), quicktest.Equals, 200)
+				b.commitAll()
 				for range 20 {
 					time.Sleep(20 * time.Millisecond)
 					synctest.Wait()
-					for _, m := range b.inbox.take() {
+					for _, m := range b.inbox.takeAll() {
 						m.apply(b.session)
 					}
 				}
 				synctest.Wait()
 				c.Check(total, quicktest.Equals, 200)
 				c.Check(peak, quicktest.Equals, x.peak)
-				c.Check(b.startsUnderWay, quicktest.Equals, 0)
+				c.Check(b.startsInFlight, quicktest.Equals, 0)
 			})
 		})
 	}
--- a/pool/storedstats.go
+++ b/pool/storedstats.go
@@ -21,7 +21,7 @@
 )
 
 // storedStats holds a leader's run-time and load statistics of queues and pools, as stored for the next leader.
-type keptLessons struct {
+type storedStats struct {
 	Queues map[string]storedQueueStats `cbor:"1,keyasint,omitempty"`
 	// Ran holds the mean run time of each pool in seconds.
 	Ran   map[string]float64    `cbor:"2,keyasint,omitempty"`
@@ -53,10 +53,10 @@
 
 // appendStats appends the statistics to a batch if statsInterval has passed.
 func (c *session) appendStats(now time.Time, records []feed.KeyedRecord) []feed.KeyedRecord {
-	if now.Sub(c.lessonsAt) < statsInterval || len(c.lessons) == 0 {
+	if now.Sub(c.lessonsStoredAt) < statsInterval || len(c.lessons) == 0 {
 		return records
 	}
-	c.lessonsAt = now
+	c.lessonsStoredAt = now
 	value, err := job.Encode(c.collectStats(now))
 	if err != nil {
 		c.emit(event.RecordRefused, event.Subject{Entry: c.Entry}, "lessons not kept: %v", err)
@@ -65,21 +65,21 @@
 	return append(records, feed.KeyedRecord{Key: lessonsKey, Value: value})
 }
 
-func (c *session) collectStats(now time.Time) keptLessons {
-	k := keptLessons{
+func (c *session) collectStats(now time.Time) storedStats {
+	k := storedStats{
 		Queues: make(map[string]storedQueueStats), Ran: make(map[string]float64), Turns: make(map[string]storedTurn),
-		Gap: c.turns.Gap, Last: c.turns.Last, Round: c.turns.Round,
+		Gap: c.turns.Interval, Last: c.turns.Last, Round: c.turns.SecondRound,
 	}
 	for name, l := range c.lessons {
 		k.Queues[name] = storedQueueStats{Runs: l.runs, Mean: l.mean, Spread: l.variance, Wrong: l.estimateError, Work: l.work}
 	}
 	for name, p := range c.pools {
-		if p.ran > 0 {
-			k.Ran[name] = p.ran
+		if p.meanRunSeconds > 0 {
+			k.Ran[name] = p.meanRunSeconds
 		}
 	}
 	for name, t := range c.turns.Pools {
-		kept := storedTurn{Need: t.Need, Loaded: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
+		kept := storedTurn{Need: t.Need, Loaded: t.Active, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if !t.Began.IsZero() {
 			kept.Ago = now.Sub(t.Began)
 		}
@@ -89,20 +89,20 @@
 }
 
 // restoreStats restores the statistics that an earlier leader stored.
-func (c *session) restoreLessons(r feed.KeyedRecord, now time.Time) {
-	var k keptLessons
-	if !c.read(r, &k) {
+func (c *session) restoreStats(r feed.KeyedRecord, now time.Time) {
+	var k storedStats
+	if !c.decodeRecord(r, &k) {
 		return
 	}
 	for name, l := range k.Queues {
-		c.lessons[name] = &lesson{runs: l.Runs, mean: l.Mean, variance: l.Spread, estimateError: l.Wrong, work: l.Work}
+		c.lessons[name] = &queueStats{runs: l.Runs, mean: l.Mean, variance: l.Spread, estimateError: l.Wrong, work: l.Work}
 	}
 	for name, ran := range k.Ran {
-		c.pool(name).ran = ran
+		c.pool(name).meanRunSeconds = ran
 	}
-	c.turns = upkeep.Turns{Pools: make(map[string]*upkeep.Turn, len(k.Turns)), Gap: k.Gap, Last: k.Last, Round: k.Round}
+	c.turns = upkeep.Bursts{Pools: make(map[string]*upkeep.Burst, len(k.Turns)), Interval: k.Gap, Last: k.Last, SecondRound: k.Round}
 	for name, t := range k.Turns {
-		row := &upkeep.Turn{Need: t.Need, Loaded: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
+		row := &upkeep.Burst{Need: t.Need, Active: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if t.Ago > 0 {
 			row.Began = now.Add(-t.Ago - statsAge)
 		}
--- a/pool/storedstats_test.go
+++ b/pool/storedstats_test.go
@@ -15,17 +15,17 @@
 // pool's turn of load comes next.
 func TestANewLeaderKnowsWhatTheEarlierOneLearned(t *testing.T) {
 	c := quicktest.New(t)
-	earlier := newBench(c, nil)
+	earlier := newFixture(c, nil)
 	now := time.Now()
-	earlier.lessons["q"] = &lesson{runs: 40, mean: 0.7, variance: 0.1, estimateError: 0.4, work: 12}
-	earlier.pool("p").ran = 1.7
+	earlier.lessons["q"] = &queueStats{runs: 40, mean: 0.7, variance: 0.1, estimateError: 0.4, work: 12}
+	earlier.pool("p").meanRunSeconds = 1.7
 	for at := time.Duration(0); at < 14*time.Second; at += 100 * time.Millisecond {
 		for i, name := range []string{"a", "b", "c"} {
 			load := 0.0
 			if int(at/(4*time.Second))%3 == i {
 				load = 9
 			}
-			earlier.turns.See(name, upkeep.Load{Need: load, Used: load, Have: 10}, now.Add(at))
+			earlier.turns.Observe(name, upkeep.Load{Need: load, Used: load, Have: 10}, now.Add(at))
 		}
 	}
 	now = now.Add(14 * time.Second)
@@ -33,10 +33,10 @@
 	c.Assert(records, quicktest.HasLen, 1)
 	c.Assert(earlier.appendStats(now.Add(time.Second), nil), quicktest.HasLen, 0)
 
-	later := newBench(c, nil)
-	later.restoreLessons(records[0], now.Add(statsAge))
+	later := newFixture(c, nil)
+	later.restoreStats(records[0], now.Add(statsAge))
 	c.Assert(*later.lessons["q"], quicktest.Equals, *earlier.lessons["q"])
-	c.Assert(later.pool("p").meanRun(), quicktest.Equals, 1.7)
+	c.Assert(later.pool("p").expectedRunSeconds(), quicktest.Equals, 1.7)
 	next := earlier.turns.Next(2*time.Second, now.Add(statsAge))
 	c.Assert(next, quicktest.HasLen, 1)
 	c.Assert(next[0].Pool, quicktest.Equals, "b")
--- a/pool/suspects.go
+++ b/pool/suspects.go
@@ -15,15 +15,15 @@
 const (
 	// similarAge is the maximum difference between the ages of the youngest run and another one for both to be suspected of having ended a life. At 19 of 19
 	// ends of lives under crashing tasks the youngest run was 3 to 26 ms old, and the starts of one batch are sent within about 20 ms.
-	alikeWithin = 150 * time.Millisecond
+	similarAge = 150 * time.Millisecond
 	// suspectMaxAge is the age above which a run is not suspected after the first lost life. It may be after the third.
 	suspectMaxAge = time.Second
 	// immediateCrashAge is the maximum age of a run that proves it to have ended a life by starting: any other cause would have had to coincide with the start.
 	immediateCrashAge = 100 * time.Millisecond
 	// trialMin is the minimum time for which a suspect runs alone before other tasks start beside it: ten times the age at which crashing tasks were
 	// observed to end lives. trialMax bounds the time where lives ended under older runs.
-	trialLeast = 300 * time.Millisecond
-	trialMax   = 3 * time.Second
+	trialMin = 300 * time.Millisecond
+	trialMax = 3 * time.Second
 	// trialFactor is the length of a trial in multiples of the suspect's largest age at the end of a life.
 	trialFactor = 2
 	// trialShare is the share of a pool's workers, at least one, on which trials run at a time. Trials may put at risk one life at a time on average, or
@@ -42,7 +42,7 @@
 	ended := w.endTime(now)
 	newest, beside := c.youngestRun(w, ended)
 	tried := w.trial != nil && c.trialEndedLife(w, newest, ended)
-	youngest := min(newest+alikeWithin, suspectMaxAge)
+	youngest := min(newest+similarAge, suspectMaxAge)
 	suspects := 0
 	for _, r := range w.runs {
 		if r.countsAsLost() && c.ageAt(r, ended) <= youngest {
@@ -56,18 +56,18 @@
 		}
 		age := c.ageAt(r, ended)
 		l := job.LostRun{Run: r.number, Life: w.Life, Age: age}
-		if r.began.IsZero() {
+		if r.orderedAt.IsZero() {
 			l.Age = job.AgeUnknown // all that is known is that the run is older than this lead
 		}
 		switch {
 		case tried && t == w.trial:
-			l.Suspects, l.Tried, l.Proved = 1, true, age <= immediateCrashAge && r.confirmed > 0
+			l.Suspects, l.Isolated, l.Conclusive = 1, true, age <= immediateCrashAge && r.confirmed > 0
 		case !tried && age <= youngest:
 			l.Suspects = suspects
 		}
 		c.counts.runsLost.Inc(1)
 		c.emit(event.RunLost, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d age=%v newest=%v beside=%d suspects=%d tried=%t planned=%t lives=%d machine=%s",
-			r.number, age.Round(time.Millisecond), newest.Round(time.Millisecond), beside-1, l.Suspects, l.Tried, planned, len(t.Lost), w.Machine)
+			r.number, age.Round(time.Millisecond), newest.Round(time.Millisecond), beside-1, l.Suspects, l.Isolated, planned, len(t.Lost), w.Machine)
 		if !planned {
 			c.recordLostRun(t, l, age)
 		}
@@ -98,7 +98,7 @@
 	}
 	age := c.ageAt(r, ended)
 	for t, o := range w.runs {
-		if t != w.trial && o.countsAsLost() && c.ageAt(o, ended) <= age+alikeWithin/2 {
+		if t != w.trial && o.countsAsLost() && c.ageAt(o, ended) <= age+similarAge/2 {
 			return false
 		}
 	}
@@ -106,13 +106,13 @@
 }
 
 // earlierLostRun is a run that an earlier leader ordered on a life that has ended since.
-type endedRun struct {
+type earlierLostRun struct {
 	task *job.Task
 	run  int64
 }
 
 // recordEarlierLost records as evidence the lives that ended while no leader was watching. The ages of their runs are unknown.
-func (c *session) endedBefore(ended map[string][]endedRun) {
+func (c *session) recordEarlierLost(ended map[string][]earlierLostRun) {
 	for life, runs := range ended {
 		for _, r := range runs {
 			c.counts.runsLost.Inc(1)
@@ -125,46 +125,46 @@
 // recordLostRun records a run that was lost with its life and gives its job up once too many have been. The run was at least as old as the given age.
 func (c *session) recordLostRun(t *job.Task, l job.LostRun, age time.Duration) {
 	if t.Spec().Lasting && age > trialMax {
-		t.Job.Refute(t) // a task that ends lives by starting would not have run for that long
-		c.changed(t.Job)
+		t.Job.ClearLost(t) // a task that ends lives by starting would not have run for that long
+		c.jobChanged(t.Job)
 		return
 	}
-	if !t.Job.Lose(t, l) {
+	if !t.Job.RecordLost(t, l) {
 		return
 	}
-	c.dirty.Add(t.Job.Spec.ID, t.Job)
+	c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
 	c.giveUpCrashing(t)
 }
 
 // retractLostRun takes back the record of a lost run whose start reached the worker only after the life had ended.
 func (c *session) retractLostRun(t *job.Task, run int64) {
 	before := len(t.Lost)
-	t.Job.NeverThere(t, run)
+	t.Job.RetractLost(t, run)
 	if len(t.Lost) < before && !t.Job.State.Ended() {
-		c.dirty.Add(t.Job.Spec.ID, t.Job)
-		c.dirtyPool(c.queue(t.Job).Pool)
+		c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
+		c.markPoolDirty(c.queue(t.Job).Pool)
 	}
 }
 
 // giveUpCrashing gives up the job of a task under which too many lives have ended. If that ends the job, none of its tasks starts again.
 func (c *session) giveUpCrashing(t *job.Task) {
 	j := t.Job
-	if !t.Hopeless() || j.State.Ended() {
+	if !t.ExceedsLossLimit() || j.State.Ended() {
 		return
 	}
 	j.GiveUp(t, c.now())
 	last := t.Lost[len(t.Lost)-1]
 	c.counts.givenUp.Inc(1)
-	c.emit(event.JobGivenUp, event.Subject{Job: t.Name(), Instance: last.Life}, "lives=%d proved=%t age=%v state=%v", len(t.Lost), last.Proved, last.Age.Round(time.Millisecond), j.State)
-	c.changed(j)
+	c.emit(event.JobGivenUp, event.Subject{Job: t.Name(), Instance: last.Life}, "lives=%d proved=%t age=%v state=%v", len(t.Lost), last.Conclusive, last.Age.Round(time.Millisecond), j.State)
+	c.jobChanged(j)
 	if j.State.Ended() {
-		c.stopAll(j, "a task of the job crashes its workers")
+		c.stopJob(j, "a task of the job crashes its workers")
 	}
 }
 
 // trialDuration returns how long the trial of a suspect lasts.
 func trialDuration(t *job.Task) time.Duration {
-	return min(max(trialFactor*t.LongestLost(), trialLeast), trialMax)
+	return min(max(trialFactor*t.MaxLostAge(), trialMin), trialMax)
 }
 
 // endTrials clears the suspects whose trials have lasted long enough and releases the workers whose trials are over.
@@ -175,12 +175,12 @@
 		switch {
 		case c.workers[w.Life] != w:
 		case r == nil || r.number != w.trialRun:
-			c.dirtyPool(w.Pool)
-		case r.began.IsZero() || !w.silentSince.IsZero() || now.Sub(r.began) <= trialDuration(t):
+			c.markPoolDirty(w.Pool)
+		case r.orderedAt.IsZero() || !w.silentSince.IsZero() || now.Sub(r.orderedAt) <= trialDuration(t):
 			continue
 		default:
-			t.Job.Clear(t)
-			c.dirtyPool(w.Pool)
+			t.Job.ClearSuspicion(t)
+			c.markPoolDirty(w.Pool)
 		}
 		w.trial = nil
 		delete(c.trials, w)
@@ -188,13 +188,13 @@
 }
 
 // startTrial records that a suspect's run is on trial on the worker.
-func (c *session) try(w *worker, t *job.Task, run int64) {
+func (c *session) startTrial(w *worker, t *job.Task, run int64) {
 	w.trial, w.trialRun = t, run
 	c.trials[w] = true
 }
 
 // placeSuspects starts suspects in trials and returns the rooms that remain for other tasks.
-func (c *session) placeApart(p *poolRow, groups []*place.Group, rooms []*place.Room, draft *org.Draft, now time.Time) []*place.Room {
+func (c *session) placeSuspects(p *poolRow, groups []*place.Group, rooms []*place.Candidate, draft *org.Draft, now time.Time) []*place.Candidate {
 	if !hasSuspect(groups) {
 		return rooms
 	}
@@ -204,7 +204,7 @@
 			most, risk, going = most-1, risk-w.trial.Risk(), true
 		}
 	}
-	choices, rest := place.Apart(groups, rooms, place.Trials{Most: most, Risk: risk, Going: going, Draft: draft})
+	choices, rest := place.PlaceSuspects(groups, rooms, place.TrialLimits{Max: most, MaxRisk: risk, Ongoing: going, Draft: draft})
 	for _, x := range choices {
 		c.startChoice(x, now)
 	}
@@ -224,24 +224,24 @@
 }
 
 // mayHaveBegun reports whether the run's start was sent, so that the run may have begun.
-func (r *run) mayRun() bool { return r.sent || r.earlier }
+func (r *run) mayHaveBegun() bool { return r.sent || r.fromEarlierLeader }
 
 // countsAsLost reports whether the end of its worker's life counts against the run. For a run that was handed on, the previous life has been counted.
-func (r *run) countsAsLost() bool { return r.mayRun() && !r.handedOn }
+func (r *run) countsAsLost() bool { return r.mayHaveBegun() && !r.carriedOver }
 
 // endTime returns the latest time at which the life can have ended, judging by its connections.
 func (w *worker) endTime(now time.Time) time.Time {
-	if w.silentSince.IsZero() || w.brokeAt.IsZero() {
+	if w.silentSince.IsZero() || w.callFailedAt.IsZero() {
 		return now
 	}
-	return w.brokeAt
+	return w.callFailedAt
 }
 
 // ageAt returns the age of a run at the given time, counted from its order. A run of an earlier leader is at least as old as this lead.
 func (c *session) ageAt(r *run, at time.Time) time.Duration {
-	began := r.began
+	began := r.orderedAt
 	if began.IsZero() {
-		began = c.began
+		began = c.startedAt
 	}
 	return max(at.Sub(began), 0)
 }
--- a/pool/suspects_test.go
+++ b/pool/suspects_test.go
@@ -16,21 +16,21 @@
 )
 
 // heardBench returns a session with a job and workers that have all answered it.
-func heardBench(c *quicktest.C, j *job.Job, lives ...string) *bench {
-	b := newBench(c, []*job.Job{j}, lives...)
+func heardBench(c *quicktest.C, j *job.Job, lives ...string) *fixture {
+	b := newFixture(c, []*job.Job{j}, lives...)
 	for _, life := range lives {
-		b.reports(life, 10, nil)
+		b.report(life, 10, nil)
 	}
 	return b
 }
 
 // runningOn makes the job's tasks run on the lives in turn, with the given ages.
-func (b *bench) runningOn(ages []time.Duration, lives ...string) {
+func (b *fixture) runningOn(ages []time.Duration, lives ...string) {
 	now := time.Now()
 	for i, age := range ages {
 		t, w := b.task(i), b.workers[lives[i%len(lives)]]
 		t.Phase, t.Run, t.Worker = job.Active, int64(100+i), w.Life
-		b.addRun(w, t, &run{number: t.Run, sent: true, began: now.Add(-age)})
+		b.addRun(w, t, &run{number: t.Run, sent: true, orderedAt: now.Add(-age)})
 	}
 }
 
@@ -50,11 +50,11 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := newBench(c, []*job.Job{one(len(x.ages))}, "w1", "w2")
-			b.reports("w1", 10, nil)
+			b := newFixture(c, []*job.Job{jobWithTasks(len(x.ages))}, "w1", "w2")
+			b.report("w1", 10, nil)
 			b.runningOn(x.ages, "w1")
 			b.workers["w1"].Leaving = x.planned
-			b.lose(b.workers["w1"], "its address has another life")
+			b.endLife(b.workers["w1"], "its address has another life")
 			for i := range x.ages {
 				if x.want == nil {
 					c.Assert(b.task(i).Lost, quicktest.HasLen, 0)
@@ -70,10 +70,10 @@
 
 func TestALeaseThatIsOverTellsNothingOfWhatRanThere(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1", "w2")
-	b.reports("w1", 10, nil)
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1", "w2")
+	b.report("w1", 10, nil)
 	b.runningOn([]time.Duration{10 * time.Millisecond}, "w1")
-	b.endLease(b.workers["w1"], time.Now())
+	b.expireLease(b.workers["w1"], time.Now())
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 }
@@ -81,42 +81,42 @@
 func TestNothingStartsBesideASuspectUntilItIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := heardBench(c, one(6), "w1", "w2")
+		b := heardBench(c, jobWithTasks(6), "w1", "w2")
 		b.lostOnce(0)
-		c.Assert(b.ordered(), quicktest.Equals, 5) // the suspect alone on one worker, four tasks on the other
+		c.Assert(b.placeAndCount(), quicktest.Equals, 5) // the suspect alone on one worker, four tasks on the other
 		tried := b.workers[b.task(0).Worker]
 		c.Assert(tried.runs, quicktest.HasLen, 1)
-		b.keeps()
-		time.Sleep(trialLeast / 2)
-		b.passTime(time.Now())
-		c.Assert(b.ordered(), quicktest.Equals, 0)
-		time.Sleep(trialLeast)
-		b.passTime(time.Now())
+		b.commitAll()
+		time.Sleep(trialMin / 2)
+		b.runTimers(time.Now())
+		c.Assert(b.placeAndCount(), quicktest.Equals, 0)
+		time.Sleep(trialMin)
+		b.runTimers(time.Now())
 		c.Assert(b.task(0).Suspect, quicktest.IsFalse)
-		c.Assert(b.ordered(), quicktest.Equals, 1) // on the worker whose trial is over
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1) // on the worker whose trial is over
 		c.Assert(tried.runs, quicktest.HasLen, 2)
 	})
 }
 
 // lostOnce records that a life ended under a task, which is waiting again.
-func (b *bench) lostOnce(index int) {
+func (b *fixture) lostOnce(index int) {
 	t := b.task(index)
-	t.Job.Lose(t, job.LostRun{Run: 1, Life: "w0", Suspects: 2})
-	t.Job.KeptVersion = t.Job.Version
+	t.Job.RecordLost(t, job.LostRun{Run: 1, Life: "w0", Suspects: 2})
+	t.Job.StoredVersion = t.Job.Version
 }
 
 func TestASuspectThatEndsItsNextLifeAtOnceIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := heardBench(c, one(6), "w1", "w2")
+		b := heardBench(c, jobWithTasks(6), "w1", "w2")
 		b.lostOnce(0)
-		b.ordered()
-		b.keeps()
+		b.placeAndCount()
+		b.commitAll()
 		time.Sleep(10 * time.Millisecond)
 		tried := b.workers[b.task(0).Worker]
-		b.confirm(tried, b.task(0), tried.runs[b.task(0)], 20)
+		b.confirmRun(tried, b.task(0), tried.runs[b.task(0)], 20)
 		b.runsBeside(tried, 1)
-		b.lose(tried, "its address has another life")
+		b.endLife(tried, "its address has another life")
 		c.Assert(b.task(0).Job.State, quicktest.Equals, job.Failed)
 		c.Assert(b.task(1).Lost, quicktest.HasLen, 1) // its run was old: the lost life is recorded, but the task is no suspect
 		c.Assert(b.task(1).Suspect, quicktest.IsFalse)
@@ -128,15 +128,15 @@
 func TestAStartThatComesToAnotherLifeWasNeverThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := heardBench(c, one(6), "w1", "w2")
+		b := heardBench(c, jobWithTasks(6), "w1", "w2")
 		b.lostOnce(0)
 		b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 			return work.Answer{Refusal: work.OtherLife}, nil
 		}
-		b.ordered()
-		b.keeps()
+		b.placeAndCount()
+		b.commitAll()
 		synctest.Wait()
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
 		c.Assert(b.workers, quicktest.HasLen, 0)
@@ -149,28 +149,28 @@
 // has ended: the first answer reports its end, and the second one that its run was never there either.
 func TestAnOrderThatFindsItsLifeGoneIsTakenBack(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(2)}, "w1", "w2")
-	b.reports("w1", 10, nil)
+	b := newFixture(c, []*job.Job{jobWithTasks(2)}, "w1", "w2")
+	b.report("w1", 10, nil)
 	b.runningOn([]time.Duration{5 * time.Millisecond, 4 * time.Millisecond}, "w1")
 	w := b.workers["w1"]
 	gone := work.Answer{Refusal: work.OtherLife}
-	startEnded{worker: w, task: b.task(0), run: 100, answer: gone}.apply(b.session)
+	startResult{worker: w, task: b.task(0), run: 100, answer: gone}.apply(b.session)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
 	c.Assert(b.task(1).Lost, quicktest.HasLen, 1)
-	startEnded{worker: w, task: b.task(1), run: 101, answer: gone}.apply(b.session)
+	startResult{worker: w, task: b.task(1), run: 101, answer: gone}.apply(b.session)
 	c.Assert(b.task(1).Lost, quicktest.HasLen, 0)
 	c.Assert(b.task(1).Suspect, quicktest.IsFalse)
-	c.Assert(b.dirty.Has(b.task(1).Job.Spec.ID), quicktest.IsTrue)
+	c.Assert(b.dirtyJobs.Has(b.task(1).Job.Spec.ID), quicktest.IsTrue)
 }
 
 // runsBeside makes a task run on a worker, with an age of one second.
-func (b *bench) runsBeside(w *worker, index int) {
+func (b *fixture) runsBeside(w *worker, index int) {
 	t := b.task(index)
 	if o := b.workers[t.Worker]; o != nil {
-		o.drop(t)
+		o.dropRun(t)
 	}
 	t.Phase, t.Run, t.Worker = job.Active, 500, w.Life
-	b.addRun(w, t, &run{number: t.Run, sent: true, began: time.Now().Add(-time.Second)})
+	b.addRun(w, t, &run{number: t.Run, sent: true, orderedAt: time.Now().Add(-time.Second)})
 }
 
 // TestTheNextLeaderKnowsWhatWasLost guards against a new leader that does not know of lost lives: they must be stored before the task's next start is sent, even
@@ -178,13 +178,13 @@
 func TestTheNextLeaderKnowsWhatWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := heardBench(c, one(1), "w1", "w2")
+		b := heardBench(c, jobWithTasks(1), "w1", "w2")
 		b.runningOn([]time.Duration{10 * time.Millisecond}, "w1")
-		b.lose(b.workers["w1"], "its address has another life")
-		c.Assert(b.ordered(), quicktest.Equals, 1)
-		b.sendPlanned() // while the store does not answer
-		c.Assert(b.planned, quicktest.HasLen, 1)
-		c.Assert(b.task(0).Job.KeepLost(), quicktest.HasLen, 1)
+		b.endLife(b.workers["w1"], "its address has another life")
+		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
+		b.sendUnstored() // while the store does not answer
+		c.Assert(b.plannedStarts, quicktest.HasLen, 1)
+		c.Assert(b.task(0).Job.StoredLost(), quicktest.HasLen, 1)
 	})
 }
 
@@ -192,41 +192,41 @@
 // on that life.
 func TestAKeptRunOnALifeThatIsGoneCounts(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(2)
+	j := jobWithTasks(2)
 	for i := range j.Tasks {
 		j.Tasks[i].Phase, j.Tasks[i].Run, j.Tasks[i].Worker = job.Active, int64(5+i), "w9"
 	}
-	b := newBench(c, []*job.Job{j}, "w1")
+	b := newFixture(c, []*job.Job{j}, "w1")
 	for i := range j.Tasks {
 		c.Assert(b.task(i).Lost, quicktest.DeepEquals, []job.LostRun{{Run: int64(5 + i), Life: "w9", Age: job.AgeUnknown, Suspects: 2}})
 		c.Assert(b.task(i).Suspect, quicktest.IsTrue)
 	}
-	c.Assert(b.dirty.Has(j.Spec.ID), quicktest.IsTrue)
+	c.Assert(b.dirtyJobs.Has(j.Spec.ID), quicktest.IsTrue)
 }
 
 func TestALastingTaskThatHasRunForLongIsNoCulprit(t *testing.T) {
 	c := quicktest.New(t)
-	j := one(1)
+	j := jobWithTasks(1)
 	j.Spec.Steps[0].Lasting = true
-	b := newBench(c, []*job.Job{j}, "w1", "w2")
-	b.reports("w1", 10, nil)
+	b := newFixture(c, []*job.Job{j}, "w1", "w2")
+	b.report("w1", 10, nil)
 	b.lostOnce(0)
 	b.runningOn([]time.Duration{time.Minute}, "w1")
 	b.sideKeys[lostKey+j.Spec.ID] = true
-	b.lose(b.workers["w1"], "its address has another life")
+	b.endLife(b.workers["w1"], "its address has another life")
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
 	c.Assert(b.task(0).Suspect, quicktest.IsFalse)
-	records := b.appendJobs(&commitEnded{versions: make(map[*job.Job]int64)}, nil)
+	records := b.appendJobs(&commitBatch{versions: make(map[*job.Job]int64)}, nil)
 	c.Assert(records[len(records)-1], quicktest.DeepEquals, feed.KeyedRecord{Key: lostKey + j.Spec.ID}) // the stored lost runs are deleted for the next leader too
 }
 
 func TestADeathThatIsToldTwiceCountsOnce(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(1)}, "w1", "w2")
-	b.reports("w1", 10, nil)
+	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1", "w2")
+	b.report("w1", 10, nil)
 	b.runningOn([]time.Duration{time.Second}, "w1")
 	w := b.workers["w1"]
-	holdEnded{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherLife}}}.apply(b.session)
-	holdEnded{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherLife}}}.apply(b.session)
+	holdResult{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherLife}}}.apply(b.session)
+	holdResult{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherLife}}}.apply(b.session)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
 }
--- a/pool/suspend_test.go
+++ b/pool/suspend_test.go
@@ -75,7 +75,7 @@
 		}{
 			{"the leader", func(h *history, span time.Duration) {
 				h.suspend(h.leader().name, span)
-				h.load(span, 150*time.Millisecond)
+				h.submitLoad(span, 150*time.Millisecond)
 			}},
 			{"the leader, in an outage", func(h *history, span time.Duration) {
 				h.mu.Lock()
@@ -86,17 +86,17 @@
 				time.Sleep(span)
 			}},
 			{"the leader, beside a cut", func(h *history, span time.Duration) {
-				h.cutZone(h.busiestOtherZone(), span+time.Second, false)
+				h.partitionZone(h.busiestOtherZone(), span+time.Second, false)
 				time.Sleep(300 * time.Millisecond)
 				h.suspend(h.leader().name, span)
-				h.load(span, 150*time.Millisecond)
+				h.submitLoad(span, 150*time.Millisecond)
 			}},
 			{"the next leader, taking over", func(h *history, span time.Duration) {
 				previous := h.leader()
-				h.cutZone(h.zoneOf(previous), span+4*time.Second, false)
+				h.partitionZone(h.zoneOf(previous), span+4*time.Second, false)
 				h.awaitNewLeader(previous)
 				h.suspend(h.leader().name, span)
-				h.load(span, 150*time.Millisecond)
+				h.submitLoad(span, 150*time.Millisecond)
 			}},
 			{"the leader, in a wave", func(h *history, span time.Duration) {
 				for range 4 {
@@ -120,20 +120,20 @@
 					}
 				}
 				time.Sleep(span - 200*time.Millisecond)
-				h.cutZone(h.zoneOf(leader), 9*time.Second, false)
-				h.load(2*time.Second, 100*time.Millisecond)
+				h.partitionZone(h.zoneOf(leader), 9*time.Second, false)
+				h.submitLoad(2*time.Second, 100*time.Millisecond)
 			}},
 		} {
 			t.Run(fmt.Sprintf("%s for %v", x.name, span), func(t *testing.T) {
 				for seed := range uint64(3 * *histories / 8) {
-					_, violations := play(t, seed, func(h *history) {
-						h.longest = 15 * time.Second // these still run when a lease ends
-						h.load(400*time.Millisecond, 40*time.Millisecond)
-						h.longest = 600 * time.Millisecond
-						h.load(time.Duration(200+100*seed)*time.Millisecond, 50*time.Millisecond)
+					_, violations := runHistory(t, seed, func(h *history) {
+						h.maxExtraTime = 15 * time.Second // these still run when a lease ends
+						h.submitLoad(400*time.Millisecond, 40*time.Millisecond)
+						h.maxExtraTime = 600 * time.Millisecond
+						h.submitLoad(time.Duration(200+100*seed)*time.Millisecond, 50*time.Millisecond)
 						x.play(h, span)
-						h.load(2*time.Second, 100*time.Millisecond)
-						h.settle()
+						h.submitLoad(2*time.Second, 100*time.Millisecond)
+						h.healAndCheck()
 					})
 					for _, y := range violations {
 						t.Errorf("seed %d: %s", seed, y)
@@ -156,10 +156,10 @@
 func TestTakeoversAmongSuspensionsKeepEveryPromise(t *testing.T) {
 	for i := range *histories {
 		seed := *first + uint64(i)
-		_, violations := play(t, seed, func(h *history) {
-			h.answersAgain = seed%2 == 0
+		_, violations := runHistory(t, seed, func(h *history) {
+			h.repeatsBeforeFencing = seed%2 == 0
 			for range historySteps {
-				h.step()
+				h.randomStep()
 				h.mu.Lock()
 				span, pick := time.Duration(100+h.r.IntN(9000))*time.Millisecond, h.r.IntN(6)
 				e := h.entries[h.r.IntN(len(h.entries))]
@@ -171,7 +171,7 @@
 					h.suspend(h.leader().name, span)
 				}
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range violations {
 			t.Errorf("seed %d: %s", seed, x)
