--- a/pool/suspendedleader_test.go
+++ b/pool/suspendedleader_test.go
@@ -19,7 +19,7 @@
 // suspendableLeader is a leader whose machine can be suspended. The steady clock and all timers stand still during a
 // suspension.
 type suspendableLeader struct {
-	*bench
+	*fixture
 	suspended time.Duration
 }
 
@@ -28,21 +28,21 @@
 
 // newSuspendableLeader returns a leader that the store has just confirmed and whose workers have all just answered.
 func newSuspendableLeader(c *quicktest.C, jobs ...*job.Job) *suspendableLeader {
-	a := &suspendableLeader{bench: newBench(c, jobs, "w1", "w2", "w3")}
+	a := &suspendableLeader{fixture: newFixture(c, jobs, "w1", "w2", "w3")}
 	base := time.Now()
 	a.Clock = &clock.Clock{Boot: func() time.Duration { return time.Since(base) + a.suspended }}
 	a.Clock.Sure()
 	confirmed := a.now()
 	a.ConfirmedAt = func() time.Time { return confirmed }
-	a.fresh[0] = confirmed
+	a.intakeReadUntil[0] = confirmed
 	for life := range a.workers {
-		a.reports(life, 10, nil)
+		a.report(life, 10, nil)
 	}
-	a.countProofs(a.now())
+	a.updateQuorum(a.now())
 	for _, w := range a.workers {
-		w.asked, w.told = a.now(), a.now()
+		w.askedAt, w.reportedAt = a.now(), a.now()
 	}
-	a.sortAsked()
+	a.computeQuorumTime()
 	return a
 }
 
@@ -60,7 +60,7 @@
 				c.Check(a.confirmed(a.now()), quicktest.Equals, before)
 			},
 			"what it read is fresh": func(c *quicktest.C, a *suspendableLeader, before bool) {
-				c.Check(a.isFresh(), quicktest.Equals, before)
+				c.Check(a.intakeIsCurrent(), quicktest.Equals, before)
 			},
 			"it may take a task away":   checkTakeAway,
 			"it asks for a move":        checkMove,
@@ -70,11 +70,11 @@
 			t.Run(name+" before and not after "+span.String(), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := quicktest.New(t)
-					check(c, newSuspendableLeader(c, one(2)), true)
+					check(c, newSuspendableLeader(c, jobWithTasks(2)), true)
 				})
 				synctest.Test(t, func(t *testing.T) {
 					c := quicktest.New(t)
-					a := newSuspendableLeader(c, one(2))
+					a := newSuspendableLeader(c, jobWithTasks(2))
 					a.suspend(span)
 					check(c, a, false)
 				})
@@ -90,19 +90,19 @@
 		j.Tasks[i].Phase, j.Tasks[i].Worker, j.Tasks[i].AtWork = job.Active, life, true
 		a.addRun(a.workers[life], &j.Tasks[i], &run{number: 5, sent: true})
 	}
-	a.aloneFrom, a.term.Number = time.Time{}, 1
-	c.Check(a.mayTakeAway(&j.Tasks[0], a.now()), quicktest.Equals, before)
+	a.soleLeaderFrom, a.term.Number = time.Time{}, 1
+	c.Check(a.canDisrupt(&j.Tasks[0], a.now()), quicktest.Equals, before)
 }
 
 func checkMove(c *quicktest.C, a *suspendableLeader, before bool) {
 	called := false
-	err := a.whileConfirmed(func() error { called = true; return nil })
+	err := a.callIfConfirmed(func() error { called = true; return nil })
 	c.Check(called, quicktest.Equals, before)
 	c.Check(err == nil, quicktest.Equals, before)
 }
 
 func checkPlacement(c *quicktest.C, a *suspendableLeader, before bool) {
-	c.Check(a.ordered() > 0, quicktest.Equals, before)
+	c.Check(a.placeAndCount() > 0, quicktest.Equals, before)
 }
 
 func checkStop(c *quicktest.C, a *suspendableLeader, before bool) {
@@ -111,8 +111,8 @@
 		stops.Add(1)
 		return work.Answer{}, work.ErrNoAnswer
 	}
-	a.stopRun(a.workers["w1"], taskName, 7, "not the task's run")
-	a.work.Wait()
+	a.stopStray(a.workers["w1"], taskName, 7, "not the task's run")
+	a.background.Wait()
 	c.Check(stops.Load() > 0, quicktest.Equals, before)
 }
 
@@ -121,18 +121,18 @@
 func TestATakeoverThatSleepsTrustsTheLeaderBeforeLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		a := &suspendableLeader{bench: newBench(c, []*job.Job{one(2)}, "w1", "w2", "w3")}
+		a := &suspendableLeader{fixture: newFixture(c, []*job.Job{jobWithTasks(2)}, "w1", "w2", "w3")}
 		base := time.Now()
 		a.Clock = &clock.Clock{Boot: func() time.Duration { return time.Since(base) + a.suspended }}
 		a.Clock.Sure()
 		a.term.Clean, a.term.Alone, a.term.Renewed = false, false, a.now()
 		for _, w := range a.workers {
-			w.before = true
+			w.knownAtTakeover = true
 		}
 		a.suspend(10 * time.Second)
 		for life := range a.workers {
-			a.reports(life, 10, nil)
+			a.report(life, 10, nil)
 		}
-		c.Check(a.coarse, quicktest.IsTrue)
+		c.Check(a.earlierUnstored, quicktest.IsTrue)
 	})
 }
--- a/pool/tables.go
+++ b/pool/tables.go
@@ -22,7 +22,7 @@
 	work.Worker
 	clock *clock.Clock
 	// room is the worker's free capacity according to this table.
-	room place.Room
+	room place.Candidate
 	// runs are the tasks whose latest run is, or may be, on this worker.
 	runs map[*job.Task]*run
 	// ledger counts the resources that each organisation uses. Runs added to and dropped from this row are counted
@@ -30,82 +30,82 @@
 	ledger *org.Ledger
 	// supersededRuns are the runs in its latest report that are no longer the latest run of their task. unknownRuns
 	// counts the reported runs of unknown jobs.
-	besides []beside
-	unknown int
+	supersededRuns []supersededRun
+	unknownRuns    int
 	// strayRuns maps the runs that belong to no task to the time at which they were told to stop.
-	strays map[int64]time.Time
+	strayRuns map[int64]time.Time
 	// listed is set while the platform lists the life. A life that is not listed gets no starts.
 	listed bool
 	// knownAtTakeover is set if the life was known when the tables were read, so that the earlier leader may have
 	// counted it and leased work on it.
-	before bool
+	knownAtTakeover bool
 	// unreadable is set while its entry in the list can't be parsed. It gets no starts then, and its runs go on.
-	misread bool
+	unreadable bool
 	// listedAtConfirmation is set if the life was listed when the store last confirmed the lead.
-	sure bool
+	listedAtConfirmation bool
 	// answered is set once the life has answered this leader. No order of an earlier leader is accepted there from
 	// then on.
-	heard bool
+	answered bool
 	// listedSince is when the life was first listed here. askedAt is when the call that it answered last was sent.
 	// reportedAt is a lower bound of the time at which its latest report was made.
-	since, asked, told time.Time
+	listedSince, askedAt, reportedAt time.Time
 	// silentSince is when it stopped answering, or zero while it answers.
 	silentSince time.Time
 	// callFailedAt is when the call failed that made it silent.
-	brokeAt time.Time
+	callFailedAt time.Time
 	// startsPausedUntil is the time until which it gets no starts; startPauses counts such pauses in a row.
-	restUntil time.Time
-	rests     int
+	startsPausedUntil time.Time
+	startPauses       int
 	// lastUnknownJob is the job of the latest start that the worker refused as unknown, or nil if it has accepted a
 	// start since.
-	unknownJob *job.Job
+	lastUnknownJob *job.Job
 	// lastProcessedEnd is the number of the latest end that the tables reflect.
-	processed int64
+	lastProcessedEnd int64
 	// unackedEnds are the ends up to lastProcessedEnd that the worker must still remember, oldest first.
-	ends []unkeptEnd
+	unackedEnds []unstoredEnd
 	// leftAt is when it began to leave or was no longer listed, or zero.
 	leftAt time.Time
 	// coldUntil is until when it is slow after its start, according to its latest statement.
 	coldUntil time.Time
 	// beingEmptied is set while its runs are to end for an upkeep or a move of the instance.
-	out bool
+	beingEmptied bool
 	// drained is set while its data centre is drained.
 	drained bool
 	// trial is the suspect task that is tried here, or nil, and trialRun is its run. Nothing else starts here
 	// meanwhile. lastStartAt is when a run was last planned or ordered here.
-	trial    *job.Task
-	trialRun int64
-	newestAt time.Time
+	trial       *job.Task
+	trialRun    int64
+	lastStartAt time.Time
 	// missedLists counts the consecutive lists of instances that did not contain its instance.
-	unnamed int
+	missedLists int
 	// lostReason is why its life has ended. It is set while the end waits for the store to confirm the lead, and
-	// empty while the life goes on.
-	lost string
+	// hasNoRuns while the life goes on.
+	lostReason string
 	// token is the fencing token of all calls to its ID, shared by the lives with that ID. Only answers to calls with
 	// requiredToken or a higher token count.
-	token *atomic.Int64
-	needs atomic.Int64
+	token         *atomic.Int64
+	requiredToken atomic.Int64
 	// idRetired is set if no later life will use its ID.
 	idRetired bool
 	// successor is the life that has replaced it under its ID, or nil as long as it is not known to have ended.
-	heir *worker
+	successor *worker
 	// unreadRuns counts the runs in its report whose jobs may not have been read yet.
-	unread int
+	unreadRuns int
 	// failures counts consecutive failed runs.
 	failures int
 	cancel   context.CancelFunc
 
 	// acked is the number of the latest end that is stored. The hold loop waits for ackSignal after it has received
-	// ends.
-	acked  atomic.Int64
-	signal chan struct{}
+	// unackedEnds.
+	acked     atomic.Int64
+	ackSignal chan struct{}
 	// runCount counts all runs on the worker; wake ends the pause of its hold loop.
-	held atomic.Int32
-	wake chan struct{}
+	runCount atomic.Int32
+	wake     chan struct{}
 	// finiteRuns counts the runs of tasks that are not lasting. Holds wait for their ends.
-	brief atomic.Int32
+	finiteRuns atomic.Int32
 	// mixedLoad is set while filling tasks run next to serving tasks, whose latency must be read often then.
-	mixed atomic.Bool
+	mixedLoad atomic.Bool
 
 	// ackDelayed is set while the acknowledgement of an end is delayed until no start of its task can be carried out
 	// late.
@@ -126,39 +126,39 @@
 	deadline work.Clock
 	// sent is set once the order has been sent. fromEarlierLeader is set if an earlier leader ordered the run or
 	// planned to.
-	sent, earlier bool
+	sent, fromEarlierLeader bool
 	// carriedOver is set if the run was ordered under the previous life, which has ended. The next report of this
 	// life tells whether it has the run.
-	handedOn bool
+	carriedOver bool
 	// confirmedEarlier is set if the run was carried over and an earlier life had confirmed it.
-	confirmedBefore bool
-	ticket          string
+	confirmedEarlier bool
+	ticket           string
 	// slack is how much time the job had left to be on time when the run was planned. It is only logged.
 	slack time.Duration
 	// unanswered is set if the start got no answer. pending holds its unanswered attempts; orderCount counts its
 	// orders, including the first.
 	unanswered bool
 	pending    pendingStarts
-	rounds     int
+	orderCount int
 	// stopSent is set once a stop has been sent. stopped is the worker's clock in the answer to it.
 	stopSent bool
 	// orderedAt is when the order was sent, or zero for a run of an earlier leader.
-	began   time.Time
-	stopped work.Clock
-	sentAt  time.Time
-	pace    int
+	orderedAt time.Time
+	stopped   work.Clock
+	sentAt    time.Time
+	pace      int
 }
 
 // supersededRun is the step and the organisation of a run that is no longer the latest of its task.
-type beside struct {
+type supersededRun struct {
 	organisation string
 	step         *job.Step
 }
 
 func newWorker(w work.Worker, clock *clock.Clock, ledger *org.Ledger) *worker {
-	row := &worker{Worker: w, clock: clock, ledger: ledger, since: clock.Sure(), strays: make(map[int64]time.Time), runs: make(map[*job.Task]*run), listed: true, signal: make(chan struct{}, 1), wake: make(chan struct{}, 1)}
-	row.room = place.Room{Worker: &row.Worker, Free: w.Room}
-	row.coldUntil = row.since.Add(w.Cold)
+	row := &worker{Worker: w, clock: clock, ledger: ledger, listedSince: clock.Sure(), strayRuns: make(map[int64]time.Time), runs: make(map[*job.Task]*run), listed: true, ackSignal: make(chan struct{}, 1), wake: make(chan struct{}, 1)}
+	row.room = place.Candidate{Worker: &row.Worker, Free: w.Capacity}
+	row.coldUntil = row.listedSince.Add(w.Cold)
 	return row
 }
 
@@ -171,17 +171,17 @@
 	return c
 }
 
-func (w *worker) read(c work.Clock) {
+func (w *worker) readClock(c work.Clock) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lease.Read(c, w.clock.Sure()) // a time that is too early would make the next deadline too late
+	w.lease.Observe(c, w.clock.Sure()) // a time that is too early would make the next deadline too late
 }
 
 // boundLease records that an earlier leader may have leased work there until the given time.
-func (w *worker) bound(until time.Time) {
+func (w *worker) boundLease(until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lease.Bound(until)
+	w.lease.ExtendTo(until)
 }
 
 func (w *worker) leasedUntil() time.Time {
@@ -191,7 +191,7 @@
 }
 
 // remainingLease returns for how long work may still be leased there, or 0 if no lease is left.
-func (w *worker) leasedFor(now time.Time) time.Duration {
+func (w *worker) remainingLease(now time.Time) time.Duration {
 	return max(w.leasedUntil().Sub(now), 0).Round(time.Millisecond)
 }
 
@@ -202,33 +202,33 @@
 	}
 	w.acked.Store(n)
 	select {
-	case w.signal <- struct{}{}:
+	case w.ackSignal <- struct{}{}:
 	default:
 	}
 }
 
 // usable reports whether the worker may get starts.
 func (w *worker) usable(now time.Time) bool {
-	return w.listed && !w.misread && w.lost == "" && w.heard && !w.Leaving && !w.out && !w.drained && w.silentSince.IsZero() && !now.Before(w.restUntil)
+	return w.listed && !w.unreadable && w.lostReason == "" && w.answered && !w.Leaving && !w.beingEmptied && !w.drained && w.silentSince.IsZero() && !now.Before(w.startsPausedUntil)
 }
 
 // hasNoRuns reports whether the worker runs nothing, according to its own report.
-func (w *worker) empty() bool {
-	return len(w.runs) == 0 && w.unread == 0 && w.heard && w.silentSince.IsZero()
+func (w *worker) hasNoRuns() bool {
+	return len(w.runs) == 0 && w.unreadRuns == 0 && w.answered && w.silentSince.IsZero()
 }
 
 // updateCold records for how much longer the worker says that it is slow. A duration that is not longer than the
 // previous one does not extend the period.
-func (w *worker) coldFor(d time.Duration, now time.Time) {
+func (w *worker) updateCold(d time.Duration, now time.Time) {
 	if until := now.Add(d); d > w.Cold || until.Before(w.coldUntil) {
 		w.coldUntil = until
 	}
 }
 
 // pauseStarts stops starts on the worker for a while, twice as long for each consecutive pause.
-func (w *worker) rest(now time.Time) {
-	w.rests = min(w.rests+1, 5)
-	w.restUntil = now.Add(firstStartPause << (w.rests - 1))
+func (w *worker) pauseStarts(now time.Time) {
+	w.startPauses = min(w.startPauses+1, 5)
+	w.startsPausedUntil = now.Add(firstStartPause << (w.startPauses - 1))
 }
 
 // firstStartPause is the first pause after a worker could not take a start. It doubles up to 16 times this value.
@@ -238,7 +238,7 @@
 func (w *worker) addRun(t *job.Task, r *run) {
 	w.runs[t] = r
 	w.charge(t, -1)
-	w.held.Add(1)
+	w.runCount.Add(1)
 	w.wakeHold()
 }
 
@@ -250,36 +250,36 @@
 	}
 }
 
-func (w *worker) drop(t *job.Task) {
+func (w *worker) dropRun(t *job.Task) {
 	if w.runs[t] == nil {
 		return
 	}
 	delete(w.runs, t)
 	w.charge(t, 1)
-	w.held.Add(-1)
+	w.runCount.Add(-1)
 }
 
 // setSupersededRuns replaces the runs that are no longer the latest of their task. They use resources until they have
 // ended.
-func (w *worker) setBesides(now []beside) {
-	for _, b := range w.besides {
+func (w *worker) setSupersededRuns(now []supersededRun) {
+	for _, b := range w.supersededRuns {
 		w.room.Free = w.room.Free.Plus(place.Charge(b.step))
-		w.ledger.Return(b.organisation, b.step.Need)
+		w.ledger.Release(b.organisation, b.step.Need)
 	}
 	for _, b := range now {
 		w.room.Free = w.room.Free.Minus(place.Charge(b.step))
-		w.ledger.Take(b.organisation, b.step.Need)
+		w.ledger.Acquire(b.organisation, b.step.Need)
 	}
-	w.besides = now
+	w.supersededRuns = now
 }
 
 func (w *worker) charge(t *job.Task, sign int) {
 	s := t.Spec()
 	n := place.Charge(s)
 	if sign < 0 {
-		w.ledger.Take(t.Job.Spec.Organisation, s.Need)
+		w.ledger.Acquire(t.Job.Spec.Organisation, s.Need)
 	} else {
-		w.ledger.Return(t.Job.Spec.Organisation, s.Need)
+		w.ledger.Release(t.Job.Spec.Organisation, s.Need)
 	}
 	w.room.Free.MilliCPU += sign * n.MilliCPU
 	w.room.Free.MemoryMB += sign * n.MemoryMB
@@ -290,7 +290,7 @@
 	case s.Lasting:
 		w.room.Serving -= sign
 	default:
-		w.brief.Add(int32(-sign))
+		w.finiteRuns.Add(int32(-sign))
 	}
 }
 
@@ -299,20 +299,20 @@
 // leader.
 func (c *session) addWorker(w *worker) {
 	c.workers[w.Life] = w
-	c.lifeChanged(w.Life)
+	c.markLifeDirty(w.Life)
 	w.drained = c.drains[w.DataCentre] != nil
 	c.assignToken(w)
-	c.lives[w.Machine] = append(c.lives[w.Machine], w)
+	c.livesByMachine[w.Machine] = append(c.livesByMachine[w.Machine], w)
 	c.livesByID[w.ID] = append(c.livesByID[w.ID], w)
 }
 
 // removeWorker removes a life from the tables.
 func (c *session) removeWorker(w *worker) {
 	delete(c.workers, w.Life)
-	if w.heard {
-		c.heard--
+	if w.answered {
+		c.answeredCount--
 	}
-	dropRow(c.lives, w.Machine, w)
+	dropRow(c.livesByMachine, w.Machine, w)
 	dropRow(c.livesByID, w.ID, w)
 }
 
@@ -340,15 +340,15 @@
 	// dirty is set if something changed that may let tasks start.
 	dirty bool
 	// nextLookAt is the earliest time of the next placement pass.
-	next time.Time
+	nextLookAt time.Time
 	// load is the work that runs and waits in the pool. meanRunSeconds is the mean duration of a run.
-	load load
-	ran  float64
+	load           load
+	meanRunSeconds float64
 	// recentNeeds are recent values of its demand, oldest first.
-	needs []need
+	recentNeeds []needSample
 	// loggedSize is the size that was last logged, at loggedAt.
-	told   upkeep.Pool
-	toldAt time.Time
+	loggedSize upkeep.Pool
+	loggedAt   time.Time
 	// recentWork is the work submitted recently, oldest first.
-	handed []handed
+	recentWork []submission
 }
--- a/pool/takeover_test.go
+++ b/pool/takeover_test.go
@@ -42,7 +42,7 @@
 // connect connects a scheduler and an elector as an entry does.
 func connect(s *pool.Scheduler, e *lead.Elector) {
 	s.ConfirmedAt, s.Lost = e.ConfirmedAt, e.Lost
-	s.SetLoose, s.LooseKept, s.SetEarlier = e.SetLoose, e.LooseKept, e.SetEarlier
+	s.AnnounceUnstoredOrders, s.UnstoredOrdersAnnounced, s.PublishEarlierLeaders = e.SetLoose, e.LooseKept, e.SetEarlier
 }
 
 // history is a simulation with its entries and the jobs that clients have submitted.
@@ -52,20 +52,20 @@
 	entries  []*entry
 	restarts int
 	// exempt holds the jobs that need not complete.
-	forgiven map[string]bool
+	exempt map[string]bool
 	// beforeCheck, unless nil, is called before unfinished tasks are reported.
-	settled  func()
-	jobs     int
-	lastWave int64
+	beforeCheck func()
+	jobCount    int
+	lastWave    int64
 }
 
 // runHistory runs a history on fake time. It returns the number of calls and the violations.
-func play(t *testing.T, seed uint64, script func(h *history)) (int, []string) {
+func runHistory(t *testing.T, seed uint64, script func(h *history)) (int, []string) {
 	return runHistoryWith(t, seed, historyWorkers, simCapacity, 0, script)
 }
 
 // runHistoryReusingIDs runs a history in which all restarted workers keep their ID.
-func playReborn(t *testing.T, seed uint64, script func(h *history)) (int, []string) {
+func runHistoryReusingIDs(t *testing.T, seed uint64, script func(h *history)) (int, []string) {
 	return runHistoryWith(t, seed, historyWorkers, simCapacity, 1, script)
 }
 
@@ -92,7 +92,7 @@
 			h.kill(e)
 		}
 		time.Sleep(2 * time.Minute) // calls that were held up end
-		calls, violations = h.callCount, h.wrong
+		calls, violations = h.callCount, h.violations
 	})
 	if len(violations) > 0 && *trace != "" {
 		t.Logf("trace written to %s", *trace)
@@ -115,11 +115,11 @@
 
 // submit submits a job of the next queue in rotation. Unless lasting, it has a second step that depends on the first.
 func (h *history) submit(lasting bool, tasks int) string {
-	h.jobs++
-	id := fmt.Sprintf("%016x", h.jobs)
-	q := h.jobs % 2
+	h.jobCount++
+	id := fmt.Sprintf("%016x", h.jobCount)
+	q := h.jobCount % 2
 	s := &job.Spec{ID: id, Queue: fmt.Sprint("q", q), Pool: fmt.Sprint("p", q)}
-	need := job.Need{MilliCPU: modelTask, MemoryMB: 100}
+	need := job.Need{MilliCPU: simTaskCPU, MemoryMB: 100}
 	s.Organisation = h.organisation()
 	s.Steps = []job.Step{{Count: tasks, Need: need, Estimate: 1000, Lasting: lasting, MayMiss: 1}}
 	if !lasting {
@@ -135,8 +135,8 @@
 	h.c.Assert(err, quicktest.IsNil)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asked[s.ID] = s
-	h.topic("intake").add(feed.KeyedRecord{Key: s.Owner().HandedInKey(), Value: value})
+	h.specs[s.ID] = s
+	h.topic("intake").add(feed.KeyedRecord{Key: s.QualifiedID().SubmissionKey(), Value: value})
 }
 
 func (h *history) cancelJob(id string) {
@@ -144,7 +144,7 @@
 	defer h.mu.Unlock()
 	if h.cancelledAt[id].IsZero() {
 		h.cancelledAt[id] = time.Now()
-		h.topic("intake").add(feed.KeyedRecord{Key: job.OwnedBy(h.asked[id].Organisation, id).CancelKey(), Value: []byte{1}})
+		h.topic("intake").add(feed.KeyedRecord{Key: job.Qualify(h.specs[id].Organisation, id).CancelKey(), Value: []byte{1}})
 	}
 }
 
@@ -163,8 +163,8 @@
 func (h *history) stopping() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, l := range h.lives {
-		if slices.ContainsFunc(l.runs, func(x *taskRun) bool { return x.stopping && x.to.IsZero() }) {
+	for _, l := range h.incarnations {
+		if slices.ContainsFunc(l.runs, func(x *taskRun) bool { return x.stopping && x.endedAt.IsZero() }) {
 			return true
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 // partitionZone cuts a zone off from everything else.
-func (h *history) cutZone(zone string, span time.Duration, resets bool) {
+func (h *history) partitionZone(zone string, span time.Duration, resets bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.partitions = append(h.partitions, partition{inside: func(p string) bool { return h.zones[p] == zone }, until: time.Now().Add(span), in: true, out: true, resets: resets})
@@ -186,9 +186,9 @@
 
 // healAndCheck ends all faults, waits for the jobs to complete, and reports tasks that were lost or still run although
 // cancelled.
-func (h *history) settle() {
+func (h *history) healAndCheck() {
 	h.mu.Lock()
-	h.partitions, h.storeLossRate, h.lateShare = nil, 0, 0
+	h.partitions, h.storeLossRate, h.lateOrderRate = nil, 0, 0
 	h.storeDownUntil = time.Time{}
 	clear(h.frozen)
 	h.mu.Unlock()
@@ -198,8 +198,8 @@
 			break
 		}
 	}
-	if h.settled != nil {
-		h.settled()
+	if h.beforeCheck != nil {
+		h.beforeCheck()
 	}
 	if h.tracef != nil {
 		for _, m := range h.machines {
@@ -211,7 +211,7 @@
 		}
 	}
 	for _, task := range h.unfinished() {
-		h.wrong = append(h.wrong, "LOST "+task)
+		h.violations = append(h.violations, "LOST "+task)
 	}
 	time.Sleep(simContactGrace + simCancelTime + simStopTime) // a late start may have been carried out just now
 	h.mu.Lock()
@@ -225,8 +225,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []string
-	for id, s := range h.asked {
-		if !h.cancelledAt[id].IsZero() || h.forgiven[id] {
+	for id, s := range h.specs {
+		if !h.cancelledAt[id].IsZero() || h.exempt[id] {
 			continue
 		}
 		for step := range s.Steps {
@@ -244,24 +244,24 @@
 // isSettled reports whether a task has succeeded, runs if lasting, or may be given up. The lock must be held.
 func (h *history) isSettled(task string, lasting bool) bool {
 	failed, crashed := 0, 0
-	for _, x := range h.byTask[task] {
-		if (lasting && x.to.IsZero()) || x.how == "done" {
+	for _, x := range h.runsByTask[task] {
+		if (lasting && x.endedAt.IsZero()) || x.outcome == "done" {
 			return true
 		}
-		if x.how == "failed" {
+		if x.outcome == "failed" {
 			failed++
 		}
 		if x.crashedWorker {
 			crashed++
 		}
 	}
-	return failed >= simMaxAttempts || crashed >= 2 || h.hopeless(task)
+	return failed >= simMaxAttempts || crashed >= 2 || h.mayBeGivenUp(task)
 }
 
 // mayBeGivenUp reports whether the task's job holds a task that crashes its workers: such a job may be given up.
-func (h *history) hopeless(task string) bool {
+func (h *history) mayBeGivenUp(task string) bool {
 	n, _ := job.ParseName(task)
-	for other := range h.crashers {
+	for other := range h.crashDelays {
 		if o, _ := job.ParseName(other); o.ID == n.ID {
 			return true
 		}
@@ -270,14 +270,14 @@
 }
 
 // submitLoad submits short jobs for a while, so that hold calls are answered often.
-func (h *history) load(span, every time.Duration) {
+func (h *history) submitLoad(span, every time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(every) {
 		h.submit(false, 2)
 	}
 }
 
 // randomStep does one random step: jobs, cancels, faults and waves.
-func (h *history) step() {
+func (h *history) randomStep() {
 	r := h.r
 	h.mu.Lock()
 	pick, short, entry := r.IntN(24), r.IntN(4), h.entries[r.IntN(len(h.entries))]
@@ -294,17 +294,17 @@
 	case 0, 1, 2, 3:
 		h.submit(false, 1+short)
 	case 4, 5, 6:
-		h.load(span/5, 100*time.Millisecond)
+		h.submitLoad(span/5, 100*time.Millisecond)
 	case 7:
-		if h.jobs < 30 {
+		if h.jobCount < 30 {
 			h.submit(true, 3)
 		}
 	case 8:
-		if h.jobs > 0 {
-			h.cancelJob(fmt.Sprintf("%016x", 1+int(span)%h.jobs))
+		if h.jobCount > 0 {
+			h.cancelJob(fmt.Sprintf("%016x", 1+int(span)%h.jobCount))
 		}
 	case 9, 10, 11:
-		h.cutZone(h.zoneOf(entry), span, coin)
+		h.partitionZone(h.zoneOf(entry), span, coin)
 	case 12:
 		h.partitionEntry(entry.name, span)
 	case 13:
@@ -321,12 +321,12 @@
 		h.mu.Unlock()
 	case 16, 17:
 		h.kill(entry)
-		h.restart(entry)
+		h.restartEntry(entry)
 	case 18:
 		entry.elector.Resign()
 		time.Sleep(500 * time.Millisecond)
 		h.kill(entry)
-		h.restart(entry)
+		h.restartEntry(entry)
 	case 19, 20:
 		h.mu.Lock()
 		m := h.machines[fmt.Sprintf("m%02d", int(span/time.Second)%(historyZones*historyWorkers))]
@@ -338,11 +338,11 @@
 		h.requestWave(2 + short)
 	case 22:
 		h.mu.Lock()
-		h.lateShare = float64(short) / 10
+		h.lateOrderRate = float64(short) / 10
 		h.mu.Unlock()
 	case 23:
 		h.mu.Lock()
-		h.storeLossRate, h.lateShare = 0, 0
+		h.storeLossRate, h.lateOrderRate = 0, 0
 		h.mu.Unlock()
 	}
 	h.mu.Lock()
@@ -364,7 +364,7 @@
 	h.partitions = append(h.partitions, c)
 }
 
-func (h *history) restart(e *entry) {
+func (h *history) restartEntry(e *entry) {
 	h.restarts++
 	for i, x := range h.entries {
 		if x == e {
@@ -378,11 +378,11 @@
 	h.lastWave++
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w := pool.Wave{Number: h.lastWave, Within: 30 * time.Second, Most: 1 + count%2}
+	w := pool.Wave{Number: h.lastWave, Within: 30 * time.Second, MaxAway: 1 + count%2}
 	for i := range count {
 		w.Machines = append(w.Machines, fmt.Sprintf("m%02d", (int(h.lastWave)*5+i)%(historyZones*historyWorkers)))
 	}
-	h.waveLimits[h.lastWave] = w.Most
+	h.waveLimits[h.lastWave] = w.MaxAway
 	h.waveRequests = append(h.waveRequests, w)
 	for _, e := range h.entries {
 		e.scheduler.SetWave(w)
@@ -395,12 +395,12 @@
 	total := 0
 	for i := range *histories {
 		seed := *first + uint64(i)
-		calls, violations := play(t, seed, func(h *history) {
-			h.answersAgain = seed%2 == 0
+		calls, violations := runHistory(t, seed, func(h *history) {
+			h.repeatsBeforeFencing = seed%2 == 0
 			for range historySteps {
-				h.step()
+				h.randomStep()
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		total += calls
 		for _, x := range violations {
@@ -415,10 +415,10 @@
 func TestTasksOfACancelledJobEndWhoeverStartedThem(t *testing.T) {
 	late := 0
 	for seed := range uint64(24) {
-		_, violations := play(t, seed, func(h *history) {
-			h.longest = time.Minute // long enough that a task which runs on is detected
+		_, violations := runHistory(t, seed, func(h *history) {
+			h.maxExtraTime = time.Minute // long enough that a task which runs on is detected
 			h.mu.Lock()
-			h.lateShare = 0.7
+			h.lateOrderRate = 0.7
 			h.mu.Unlock()
 			var ids []string
 			for range 8 {
@@ -435,7 +435,7 @@
 			h.mu.Lock()
 			late += h.startedAfterCancel()
 			h.mu.Unlock()
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range violations {
 			t.Errorf("seed %d: %s", seed, x)
@@ -450,21 +450,21 @@
 	for _, span := range [...]time.Duration{3, 6, 9, 10, 11, 13, 20} {
 		for _, resets := range [...]bool{false, true} {
 			for seed := range uint64(8) {
-				_, violations := play(t, seed, func(h *history) {
+				_, violations := runHistory(t, seed, func(h *history) {
 					h.mu.Lock()
-					for _, l := range h.lives {
+					for _, l := range h.incarnations {
 						l.clockRate = simSlowestClock
 					}
 					h.mu.Unlock()
-					h.longest = 300 * time.Millisecond
-					h.load(3*time.Second, 40*time.Millisecond)
-					h.longest = 15 * time.Second // these still run when the lease ends
-					h.load(200*time.Millisecond, 20*time.Millisecond)
-					h.longest = 300 * time.Millisecond
-					h.load(500*time.Millisecond, 40*time.Millisecond)
-					h.cutZone(h.zoneOf(h.leader()), span*time.Second, resets)
-					h.load(span*time.Second, 100*time.Millisecond)
-					h.settle()
+					h.maxExtraTime = 300 * time.Millisecond
+					h.submitLoad(3*time.Second, 40*time.Millisecond)
+					h.maxExtraTime = 15 * time.Second // these still run when the lease ends
+					h.submitLoad(200*time.Millisecond, 20*time.Millisecond)
+					h.maxExtraTime = 300 * time.Millisecond
+					h.submitLoad(500*time.Millisecond, 40*time.Millisecond)
+					h.partitionZone(h.zoneOf(h.leader()), span*time.Second, resets)
+					h.submitLoad(span*time.Second, 100*time.Millisecond)
+					h.healAndCheck()
 				})
 				for _, x := range violations {
 					t.Errorf("cut of %d s, resets %t, seed %d: %s", span, resets, seed, x)
@@ -478,12 +478,12 @@
 // store. It is cut off while its batches are in flight, and the store repeats its first answer to a batch that it has appended.
 func TestWhatTheStoreAnswersAfterACutStartsNothing(t *testing.T) {
 	for seed := range uint64(12) {
-		_, violations := play(t, seed, func(h *history) {
-			h.answersAgain = true
-			h.load(3*time.Second, time.Duration(60+5*seed)*time.Millisecond)
-			h.cutZone(h.zoneOf(h.leader()), 6*time.Second, seed%2 == 0)
-			h.load(7*time.Second, 200*time.Millisecond)
-			h.settle()
+		_, violations := runHistory(t, seed, func(h *history) {
+			h.repeatsBeforeFencing = true
+			h.submitLoad(3*time.Second, time.Duration(60+5*seed)*time.Millisecond)
+			h.partitionZone(h.zoneOf(h.leader()), 6*time.Second, seed%2 == 0)
+			h.submitLoad(7*time.Second, 200*time.Millisecond)
+			h.healAndCheck()
 		})
 		for _, x := range violations {
 			t.Errorf("seed %d: %s", seed, x)
@@ -495,7 +495,7 @@
 // upkeep wave. After a planned handover, tasks that the earlier leader has told to stop are still reported as running for a while.
 func TestLeadersThatStopInAWaveSpareWhatLasts(t *testing.T) {
 	for seed := range uint64(12) {
-		_, violations := play(t, seed, func(h *history) {
+		_, violations := runHistory(t, seed, func(h *history) {
 			for range 4 {
 				h.submit(true, 5)
 			}
@@ -509,9 +509,9 @@
 				e.elector.Resign()
 				time.Sleep(150 * time.Millisecond)
 				h.kill(e)
-				h.restart(e)
+				h.restartEntry(e)
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range violations {
 			t.Errorf("seed %d: %s", seed, x)
--- a/pool/unreadable_test.go
+++ b/pool/unreadable_test.go
@@ -16,37 +16,37 @@
 )
 
 // parsePoolNames makes list entries consist of the name of their pool.
-func (b *bench) parsePoolNames() {
+func (b *fixture) parsePoolNames() {
 	b.ParseWorker = func(life string, value []byte) (work.Worker, error) {
 		if value[0] == 0 {
 			return work.Worker{}, errors.New("invalid entry")
 		}
-		return work.Worker{Life: life, Machine: "m-" + life, Pool: string(value), Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Life: life, Machine: "m-" + life, Pool: string(value), Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 }
 
 func TestNothingStartsOnAWorkerWhoseEntryCantBeRead(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, []*job.Job{one(2)}, "w1")
+	b := newFixture(c, []*job.Job{jobWithTasks(2)}, "w1")
 	b.parsePoolNames()
-	b.reports("w1", 100, nil)
-	b.listWorker("w1", []byte{0})
-	c.Assert(b.ordered(), quicktest.Equals, 0)
+	b.report("w1", 100, nil)
+	b.applyWorkerRecord("w1", []byte{0})
+	c.Assert(b.placeAndCount(), quicktest.Equals, 0)
 	c.Assert(b.workers["w1"], quicktest.IsNotNil, quicktest.Commentf("an unreadable entry must not end a life"))
-	b.listWorker("w1", []byte("p"))
-	c.Assert(b.ordered(), quicktest.Equals, 2)
+	b.applyWorkerRecord("w1", []byte("p"))
+	c.Assert(b.placeAndCount(), quicktest.Equals, 2)
 	c.Assert(b.foreign.entries, quicktest.HasLen, 0)
 }
 
 func TestAnEntryOfAPoolThatIsAddedLaterIsReadThen(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil)
+	b := newFixture(c, nil)
 	b.parsePoolNames()
 	catalog := *b.config
 	catalog.Pools = map[string]job.Pool{"p": {Name: "p"}}
 	catalogChanged{&catalog}.apply(b.session)
-	b.listWorker("w1", []byte("p"))
-	b.listWorker("w2", []byte("new"))
+	b.applyWorkerRecord("w1", []byte("p"))
+	b.applyWorkerRecord("w2", []byte("new"))
 	c.Assert(b.workers["w1"], quicktest.IsNotNil)
 	c.Assert(b.workers["w2"], quicktest.IsNil)
 	wider := catalog
@@ -71,7 +71,7 @@
 // placedWith lists some valid workers, with invalid entries in between if bad is set, and returns how many tasks of a
 // large job are placed.
 func placedWith(c *quicktest.C, r *rand.Rand, bad bool) int {
-	b := newBench(c, []*job.Job{one(40)})
+	b := newFixture(c, []*job.Job{jobWithTasks(40)})
 	b.parsePoolNames()
 	catalog := *b.config
 	catalog.Pools = map[string]job.Pool{"p": {Name: "p"}}
@@ -80,24 +80,24 @@
 		life := fmt.Sprint("good", i)
 		for n := range r.IntN(3) {
 			if bad {
-				b.listWorker(fmt.Sprint("bad", i, n), [][]byte{{0}, []byte("elsewhere"), {0, 1}}[n])
+				b.applyWorkerRecord(fmt.Sprint("bad", i, n), [][]byte{{0}, []byte("elsewhere"), {0, 1}}[n])
 			}
 		}
-		b.listWorker(life, []byte("p"))
-		b.workersKept[life] = true
-		b.reports(life, 100, nil)
+		b.applyWorkerRecord(life, []byte("p"))
+		b.storedLives[life] = true
+		b.report(life, 100, nil)
 	}
-	return b.ordered()
+	return b.placeAndCount()
 }
 
 func TestForeignEntriesAreBounded(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(c, nil)
+	b := newFixture(c, nil)
 	b.parsePoolNames()
-	for i := range foreignMost + 10 {
-		b.listWorker(fmt.Sprint("x", i), []byte{0})
+	for i := range maxUnusable + 10 {
+		b.applyWorkerRecord(fmt.Sprint("x", i), []byte{0})
 	}
-	c.Assert(b.foreign.entries, quicktest.HasLen, foreignMost)
-	b.listWorker("x1", nil)
-	c.Assert(b.foreign.entries, quicktest.HasLen, foreignMost-1)
+	c.Assert(b.foreign.entries, quicktest.HasLen, maxUnusable)
+	b.applyWorkerRecord("x1", nil)
+	c.Assert(b.foreign.entries, quicktest.HasLen, maxUnusable-1)
 }
--- a/pool/unstored.go
+++ b/pool/unstored.go
@@ -39,7 +39,7 @@
 // allowUnstored lets orders be sent before they are stored while the store does not accept batches.
 //
 // It requires proof that this entry is not the isolated one: a majority of the workers must have answered calls sent since then.
-func (c *session) loosen(now time.Time) {
+func (c *session) allowUnstored(now time.Time) {
 	if !c.batchOverdue(now) {
 		if !c.committing {
 			c.endUnstored(now, "nothing is left to be kept")
@@ -47,12 +47,12 @@
 		return
 	}
 	c.setMode(modeStoreSlow, true, now, "a batch is not answered")
-	c.SetLoose(true)
-	since := c.commitSince
+	c.AnnounceUnstoredOrders(true)
+	since := c.commitStartedAt
 	switch confirmed := c.ConfirmedAt(); {
-	case c.LooseKept():
-	case now.Sub(confirmed) > unstoredDelay(c.sure):
-		since = confirmed.Add(unstoredDelay(c.sure))
+	case c.UnstoredOrdersAnnounced():
+	case now.Sub(confirmed) > unstoredDelay(c.confirmedInstances):
+		since = confirmed.Add(unstoredDelay(c.confirmedInstances))
 	default:
 		return
 	}
@@ -60,65 +60,65 @@
 		return
 	}
 	c.setMode(modeUnkeptOrders, true, now, "most workers answer without the store")
-	c.sendPlanned()
+	c.sendUnstored()
 }
 
 // batchOverdue reports whether the batch in flight has not been answered for storeSlowAfter. The calling goroutine records when the answer arrives, since a busy
 // control goroutine may process it late.
 func (c *session) batchOverdue(now time.Time) bool {
-	return c.committing && c.inFlight.answeredAt.Load() == nil && now.Sub(c.commitSince) >= storeSlowAfter
+	return c.committing && c.inFlight.answeredAt.Load() == nil && now.Sub(c.commitStartedAt) >= storeSlowAfter
 }
 
 // endUnstored ends the period in which orders may be sent before they are stored, unless such orders are still not stored. It is called when the store
 // has accepted a batch in time, and when nothing is left to store.
 func (c *session) endUnstored(now time.Time, why string) {
-	if !c.is(modeStoreSlow) || len(c.unkept) > 0 {
+	if !c.inMode(modeStoreSlow) || len(c.unstoredJobs) > 0 {
 		return
 	}
-	c.SetLoose(false)
+	c.AnnounceUnstoredOrders(false)
 	c.setMode(modeUnkeptOrders, false, now, why)
 	c.setMode(modeStoreSlow, false, now, why)
 }
 
 // noteUnstored records that a run was ordered that is not in any batch accepted by the store.
 func (c *session) noteUnstored(j *job.Job) {
-	if j.Version > j.KeptVersion {
-		c.unkept[j] = j.Version
+	if j.Version > j.StoredVersion {
+		c.unstoredJobs[j] = j.Version
 	}
 }
 
 // noteStored forgets the unstored orders of a job once they are stored.
 func (c *session) noteStored(j *job.Job) {
-	if v, ok := c.unkept[j]; ok && j.KeptVersion >= v {
-		delete(c.unkept, j)
+	if v, ok := c.unstoredJobs[j]; ok && j.StoredVersion >= v {
+		delete(c.unstoredJobs, j)
 	}
 }
 
 // storeFailing reports whether the store has left a batch unanswered for much longer than usual. What becomes of an instance
 // after a move or upkeep is known only from the store, so none is begun while the store fails. A store that is merely slow delivers this late but reliably, so it delays moves only during its first
 // slow batches.
-func (c *session) storeFails(now time.Time) bool {
-	limit := min(max(storeSlowAfter, time.Duration(storeFailFactor*float64(c.usualBatch))), storeFailMax)
-	return c.committing && c.inFlight.answeredAt.Load() == nil && now.Sub(c.commitSince) >= limit
+func (c *session) storeFailing(now time.Time) bool {
+	limit := min(max(storeSlowAfter, time.Duration(storeFailFactor*float64(c.typicalBatchTime))), storeFailMax)
+	return c.committing && c.inFlight.answeredAt.Load() == nil && now.Sub(c.commitStartedAt) >= limit
 }
 
 // recordBatchTime updates the moving average of batch durations.
 func (c *session) recordBatchTime(took time.Duration) {
-	c.usualBatch += time.Duration(batchTimeWeight * float64(took-c.usualBatch))
+	c.typicalBatchTime += time.Duration(batchTimeWeight * float64(took-c.typicalBatchTime))
 }
 
 // quorumAskedSince reports whether a majority of the listed workers has answered calls sent after the given time.
 func (c *session) quorumAskedSince(t, now time.Time) bool {
-	c.countProofs(now)
-	c.sortAsked()
-	asked := c.mostAsked.Load()
+	c.updateQuorum(now)
+	c.computeQuorumTime()
+	asked := c.majorityAskedAt.Load()
 	return asked != nil && asked.After(t)
 }
 
 // sendUnstored sends the starts that wait to be stored.
-func (c *session) sendPlanned() {
-	starts, kept := splitUnstored(c.planned)
-	c.planned = kept
+func (c *session) sendUnstored() {
+	starts, kept := splitUnstored(c.plannedStarts)
+	c.plannedStarts = kept
 	if c.inFlight != nil {
 		first, kept := splitUnstored(c.inFlight.starts)
 		starts = append(first, starts...)
@@ -127,9 +127,9 @@
 	for _, p := range starts {
 		c.noteUnstored(p.task.Job)
 	}
-	c.counts.looseStarts.Inc(int64(len(starts)))
-	c.held = append(c.held, starts...)
-	c.sendHeld(c.now())
+	c.counts.unstoredStarts.Inc(int64(len(starts)))
+	c.storedStarts = append(c.storedStarts, starts...)
+	c.sendStored(c.now())
 }
 
 // splitUnstored splits the planned runs into those that may be ordered before they are stored, and those of tasks under which a life has ended. The next leader
--- a/pool/unstored_test.go
+++ b/pool/unstored_test.go
@@ -22,7 +22,7 @@
 // loadedFixture is a session under continuous load: whenever a batch is answered, the next one is sent in the same
 // pass.
 type loadedFixture struct {
-	*bench
+	*fixture
 	// storeDelay is how long the store takes for a batch.
 	storeDelay time.Duration
 	// announced is what the next leader would read.
@@ -39,9 +39,9 @@
 	for i := range loadedLives {
 		lives = append(lives, fmt.Sprint("w", i))
 	}
-	x := &loadedFixture{bench: newBench(c, nil, lives...), storeDelay: 4 * time.Millisecond, ordered: make(map[string]time.Time)}
-	x.SetLoose = func(loose bool) { x.announced = loose }
-	x.LooseKept = func() bool { return x.announced }
+	x := &loadedFixture{fixture: newFixture(c, nil, lives...), storeDelay: 4 * time.Millisecond, ordered: make(map[string]time.Time)}
+	x.AnnounceUnstoredOrders = func(loose bool) { x.announced = loose }
+	x.UnstoredOrdersAnnounced = func() bool { return x.announced }
 	x.State.Append = func(ctx context.Context, _ feed.Batch) (int64, error) {
 		if sleep(ctx, x.storeDelay); ctx.Err() != nil {
 			return 0, feed.ErrUncertain
@@ -55,7 +55,7 @@
 		return work.Answer{Clock: 100}, nil
 	}
 	for _, life := range lives {
-		x.reports(life, 10, nil)
+		x.report(life, 10, nil)
 	}
 	return x
 }
@@ -65,14 +65,14 @@
 	for range jobs {
 		x.jobs++
 		s := &job.Spec{ID: fmt.Sprintf("%016x", x.jobs), Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Need: job.Need{MilliCPU: 1}}}}
-		j := x.readIntake(0, record(x.c, job.OwnedBy("", s.ID).HandedInKey(), s), time.Now())
+		j := x.readIntake(0, record(x.c, job.Qualify("", s.ID).SubmissionKey(), s), time.Now())
 		x.openJob(j, time.Now())
 	}
-	for _, m := range x.inbox.take() {
+	for _, m := range x.inbox.takeAll() {
 		m.apply(x.session)
 	}
 	for _, p := range x.pools {
-		p.next = time.Time{}
+		p.nextLookAt = time.Time{}
 	}
 	x.placeAll(time.Now())
 	x.commit()
@@ -85,9 +85,9 @@
 	for range d / each {
 		x.pass(jobsPerSecond / int(time.Second/each))
 		for _, w := range x.workers {
-			w.asked = time.Now()
+			w.askedAt = time.Now()
 		}
-		x.loosen(time.Now())
+		x.allowUnstored(time.Now())
 		time.Sleep(each)
 		synctest.Wait()
 	}
@@ -107,7 +107,7 @@
 		x.storeDelay = 4 * time.Millisecond
 		x.passFor(1200*time.Millisecond, 500)
 		x.c.Assert(x.announced, quicktest.IsFalse, quicktest.Commentf("the store has answered for a second"))
-		x.c.Assert(x.storeFails(time.Now()), quicktest.IsFalse)
+		x.c.Assert(x.storeFailing(time.Now()), quicktest.IsFalse)
 	})
 }
 
@@ -116,7 +116,7 @@
 func TestAnAnnouncementIsTakenBackThatWasNeverUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newLoadedFixture(quicktest.New(t))
-		x.LooseKept = func() bool { return false }
+		x.UnstoredOrdersAnnounced = func() bool { return false }
 		x.storeDelay = 400 * time.Millisecond
 		x.passFor(450*time.Millisecond, 500)
 		x.c.Assert(x.announced, quicktest.IsTrue)
@@ -130,7 +130,7 @@
 func TestAnAnnouncementStaysUntilWhatLeftUnkeptIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newLoadedFixture(quicktest.New(t))
-		x.batchMost = 2000 // some tens of jobs
+		x.maxBatchBytes = 2000 // some tens of jobs
 		x.storeDelay = 800 * time.Millisecond
 		x.passFor(700*time.Millisecond, 2000)
 		x.c.Assert(len(x.ordered) > 100, quicktest.IsTrue)
@@ -141,7 +141,7 @@
 			synctest.Wait()
 			unkept := 0
 			for id := range x.ordered {
-				if j := x.session.jobs[id]; j.KeptVersion < 2 {
+				if j := x.session.jobs[id]; j.StoredVersion < 2 {
 					unkept++
 				}
 			}
@@ -205,7 +205,7 @@
 		}
 		x.storeDelay = 50 * time.Millisecond
 		x.pass(50)
-		x.reports(w.Life, 500, nil, work.End{N: 1, Task: task, Run: number, How: work.Succeeded})
+		x.report(w.Life, 500, nil, work.EndedRun{Seq: 1, Task: task, Run: number, Outcome: work.Succeeded})
 		x.c.Assert(w.acked.Load(), quicktest.Equals, int64(0), quicktest.Commentf("the end is not stored yet"))
 		x.passFor(150*time.Millisecond, 2000)
 		x.c.Assert(w.acked.Load(), quicktest.Equals, int64(1))
@@ -241,7 +241,7 @@
 			n, failing := 0, 0
 			for end := time.Now().Add(d); time.Now().Before(end); n++ {
 				x.passFor(10*time.Millisecond, 500)
-				if x.storeFails(time.Now()) {
+				if x.storeFailing(time.Now()) {
 					failing++
 				}
 			}
--- a/pool/unusable.go
+++ b/pool/unusable.go
@@ -13,27 +13,27 @@
 
 // Limits for unusable entries of the list of workers, which another writer may produce by the thousand.
 const (
-	foreignMost       = 4096
+	maxUnusable       = 4096
 	maxUnusableEvents = 100
 )
 
 // unusableEntries holds the entries of the list of workers that do not describe a usable worker, by key: the value can't be parsed, required fields are missing, or
 // the pool is not in the configuration yet. The zero value is empty.
-type foreign struct{ entries map[string][]byte }
+type unusableEntries struct{ entries map[string][]byte }
 
-func (f *foreign) has(life string) bool { return f.entries[life] != nil }
+func (f *unusableEntries) has(life string) bool { return f.entries[life] != nil }
 
 // put stores an entry unless maxUnusable is reached.
-func (f *foreign) put(life string, value []byte) {
+func (f *unusableEntries) put(life string, value []byte) {
 	if f.entries == nil {
 		f.entries = make(map[string][]byte)
 	}
-	if f.has(life) || len(f.entries) < foreignMost {
+	if f.has(life) || len(f.entries) < maxUnusable {
 		f.entries[life] = value
 	}
 }
 
-func (f *foreign) drop(life string) { delete(f.entries, life) }
+func (f *unusableEntries) drop(life string) { delete(f.entries, life) }
 
 // parseEntry parses an entry of the list of workers. A new life must name a pool of the configuration; a known one stays in its pool when the pool is removed. Once a
 // worker has reported a birth, an entry without one must come from another writer and is an error.
@@ -44,7 +44,7 @@
 	}
 	row.ID = id
 	row.Life = work.Life{ID: id, Birth: row.Birth}.String()
-	if row.Birth == 0 && slices.ContainsFunc(c.bearing(id), func(w *worker) bool { return w.Birth != 0 }) {
+	if row.Birth == 0 && slices.ContainsFunc(c.livesWithID(id), func(w *worker) bool { return w.Birth != 0 }) {
 		return row, fmt.Errorf("worker %s: the entry has no birth, but the worker reports one; the writer of the entry must correct it", id)
 	}
 	if c.workers[row.Life] != nil || c.config == nil || len(c.config.Pools) == 0 {
@@ -59,9 +59,9 @@
 // rejectEntry records an entry that does not describe a usable worker. It says nothing about a life that is already known: nothing new is started there, while
 // its runs go on and are held.
 func (c *session) rejectEntry(id string, value []byte, err error) {
-	known := c.bearing(id)
+	known := c.livesWithID(id)
 	for _, w := range known {
-		w.misread = true
+		w.unreadable = true
 	}
 	if !c.foreign.has(id) && len(c.foreign.entries) < maxUnusableEvents {
 		c.emit(event.RecordRefused, event.Subject{Instance: id}, "list of workers: known=%t err=%q", len(known) > 0, err)
@@ -75,21 +75,21 @@
 		c.foreign.drop(id)
 		c.emit(event.WorkerSeen, event.Subject{Instance: id}, "its entry can be read again")
 	}
-	for _, w := range c.bearing(id) {
-		if w.misread {
-			w.misread = false
-			c.dirtyPool(w.Pool)
+	for _, w := range c.livesWithID(id) {
+		if w.unreadable {
+			w.unreadable = false
+			c.markPoolDirty(w.Pool)
 		}
 	}
 }
 
 // retryUnusable parses the unusable entries of unknown workers again after a change of the configuration.
-func (c *session) readForeign() {
+func (c *session) retryUnusable() {
 	for id, value := range maps.Clone(c.foreign.entries) {
-		if len(c.bearing(id)) > 0 {
+		if len(c.livesWithID(id)) > 0 {
 			continue // this is the unusable entry of a known worker
 		}
-		if w := c.listWorker(id, value); w != nil {
+		if w := c.applyWorkerRecord(id, value); w != nil {
 			c.startHolds(w)
 		}
 	}
--- a/pool/upkeep.go
+++ b/pool/upkeep.go
@@ -32,7 +32,7 @@
 )
 
 // waveState is the state of a maintenance wave.
-type waveRow struct {
+type waveState struct {
 	Wave
 	// since is the time at which this leader learned of the wave, earlier the stored time for which earlier leaders had known it.
 	since   time.Time
@@ -55,7 +55,7 @@
 }
 
 // markRequested records that a maintenance call is about to be made, and reports whether this is already stored.
-func (w *waveRow) markRequested(machine string) bool {
+func (w *waveState) markRequested(machine string) bool {
 	if !w.requested[machine] {
 		w.version++
 		w.requested[machine], w.requestedVersion[machine] = true, w.version
@@ -64,13 +64,13 @@
 }
 
 // clearRequested records that the maintenance has certainly not begun.
-func (w *waveRow) clearRequested(machine string) {
+func (w *waveState) clearRequested(machine string) {
 	w.version++
 	delete(w.requested, machine)
 }
 
 // markBegun records that the maintenance has begun, or is not needed any more.
-func (w *waveRow) begin(machine string) {
+func (w *waveState) markBegun(machine string) {
 	if !w.begun[machine] {
 		w.version++
 	}
@@ -93,29 +93,29 @@
 }
 
 // waveRequested is a request for a maintenance wave.
-type waveRead struct{ wave Wave }
+type waveRequested struct{ wave Wave }
 
-func (m waveRead) apply(c *session) {
+func (m waveRequested) apply(c *session) {
 	row := c.wave(m.wave.Number)
 	if row.since.IsZero() {
 		row.since = c.now()
-		c.emit(event.WaveChanged, event.Subject{}, "wave=%d machines=%d most=%d within=%v", m.wave.Number, len(m.wave.Machines), m.wave.Most, m.wave.Within)
+		c.emit(event.WaveChanged, event.Subject{}, "wave=%d machines=%d most=%d within=%v", m.wave.Number, len(m.wave.Machines), m.wave.MaxAway, m.wave.Within)
 	}
 	row.Wave = m.wave
 }
 
-func (c *session) wave(n int64) *waveRow {
-	row := c.waveRows[n]
+func (c *session) wave(n int64) *waveState {
+	row := c.waveStates[n]
 	if row == nil {
-		row = &waveRow{begun: make(map[string]bool), requested: make(map[string]bool), requestedVersion: make(map[string]int), steps: make(map[string]*maintenanceStep)}
+		row = &waveState{begun: make(map[string]bool), requested: make(map[string]bool), requestedVersion: make(map[string]int), steps: make(map[string]*maintenanceStep)}
 		row.Number = n
-		c.waveRows[n] = row
+		c.waveStates[n] = row
 	}
 	return row
 }
 
 // storedWave is the stored form of a wave.
-type keptWave struct {
+type storedWave struct {
 	Begun []string `cbor:"1,keyasint,omitempty"`
 	// Known is the time for which the wave had been known.
 	Known time.Duration `cbor:"2,keyasint,omitempty"`
@@ -124,9 +124,9 @@
 
 // restoreWave restores the wave that an earlier leader stored.
 func (c *session) restoreWave(r feed.KeyedRecord) {
-	var kept keptWave
+	var kept storedWave
 	n, err := strconv.ParseInt(r.Key[len(waveKey):], 10, 64)
-	if err != nil || !c.read(r, &kept) {
+	if err != nil || !c.decodeRecord(r, &kept) {
 		return
 	}
 	row := c.wave(n)
@@ -140,10 +140,10 @@
 }
 
 // known returns the time for which the wave has been known, to this leader and earlier ones.
-func (w *waveRow) known(now time.Time) time.Duration { return w.earlier + now.Sub(w.since) }
+func (w *waveState) known(now time.Time) time.Duration { return w.earlier + now.Sub(w.since) }
 
 func (c *session) wavesDirty() bool {
-	for _, row := range c.waveRows {
+	for _, row := range c.waveStates {
 		if row.version > row.storedVersion {
 			return true
 		}
@@ -152,12 +152,12 @@
 }
 
 // storeWaves adds the changed waves to a batch.
-func (c *session) keepWaves(done *commitEnded, records []feed.KeyedRecord) []feed.KeyedRecord {
-	for n, row := range c.waveRows {
+func (c *session) storeWaves(done *commitBatch, records []feed.KeyedRecord) []feed.KeyedRecord {
+	for n, row := range c.waveStates {
 		if row.version <= row.storedVersion {
 			continue
 		}
-		kept := keptWave{Begun: slices.Sorted(maps.Keys(row.begun)), Known: row.known(c.now()), Asked: slices.Sorted(maps.Keys(row.requested))}
+		kept := storedWave{Begun: slices.Sorted(maps.Keys(row.begun)), Known: row.known(c.now()), Asked: slices.Sorted(maps.Keys(row.requested))}
 		value, err := job.Encode(kept)
 		if err != nil {
 			c.emit(event.RecordRefused, event.Subject{}, "wave=%d not stored: %v", n, err)
@@ -172,13 +172,13 @@
 // waveKeyOf returns the key of the stored record of a wave.
 func waveKeyOf(n int64) string { return waveKey + strconv.FormatInt(n, 10) }
 
-func (c *session) waveKept(n int64, version int) {
-	c.waveRows[n].storedVersion = max(c.waveRows[n].storedVersion, version)
+func (c *session) waveStored(n int64, version int) {
+	c.waveStates[n].storedVersion = max(c.waveStates[n].storedVersion, version)
 }
 
 // runWaves advances all waves: it selects the next instances, empties them and requests their maintenance.
 func (c *session) runWaves(now time.Time) {
-	for _, row := range c.waveRows {
+	for _, row := range c.waveStates {
 		if row.finished || row.since.IsZero() {
 			continue
 		}
@@ -187,8 +187,8 @@
 	}
 }
 
-func (c *session) runWave(row *waveRow, now time.Time) {
-	if now.Before(c.aloneFrom) || c.machinesRead.Before(c.aloneFrom) {
+func (c *session) runWave(row *waveState, now time.Time) {
+	if now.Before(c.soleLeaderFrom) || c.machinesListedAt.Before(c.soleLeaderFrom) {
 		return // the requests of the earlier leader are not known yet
 	}
 	for m := range row.requested {
@@ -198,7 +198,7 @@
 	}
 	c.markDue(row)
 	away := c.countAway(row)
-	storeFailing := c.storeFails(now) && row.known(now) < time.Duration(maxWaitShare*float64(row.Within))
+	storeFailing := c.storeFailing(now) && row.known(now) < time.Duration(maxWaitShare*float64(row.Within))
 	if !storeFailing {
 		for _, x := range c.nextInWave(row, now) {
 			c.startEmptying(row, x.Name, now)
@@ -213,7 +213,7 @@
 			continue
 		}
 		alreadyCounted := s.uncertain || row.requested[m]
-		if alreadyCounted || away < max(row.Most, 1) {
+		if alreadyCounted || away < max(row.MaxAway, 1) {
 			if !alreadyCounted {
 				away++
 			}
@@ -225,17 +225,17 @@
 }
 
 // markDue marks the workers of the instances whose maintenance has not begun yet, for placement.
-func (c *session) markDue(row *waveRow) {
+func (c *session) markDue(row *waveState) {
 	for _, m := range row.Machines {
 		if w := c.listedWorkerOn(m); w != nil {
-			w.room.Due = !row.begun[m]
+			w.room.UpkeepDue = !row.begun[m]
 		}
 	}
 }
 
 // nextInWave returns the instances of the wave that are to be emptied next.
-func (c *session) nextInWave(row *waveRow, now time.Time) []upkeep.Candidate {
-	w := upkeep.Wave{Most: row.Most, Out: len(row.steps), Left: len(row.steps), Within: row.Within, Since: row.known(now), Each: c.Bounds().Upkeep}
+func (c *session) nextInWave(row *waveState, now time.Time) []upkeep.Candidate {
+	w := upkeep.Wave{MaxAway: row.MaxAway, Out: len(row.steps), Remaining: len(row.steps), Within: row.Within, Elapsed: row.known(now), Each: c.Bounds().Upkeep}
 	var waiting []upkeep.Candidate
 	for _, m := range row.Machines {
 		if s := row.steps[m]; s != nil {
@@ -247,7 +247,7 @@
 		if row.begun[m] {
 			continue
 		}
-		w.Left++
+		w.Remaining++
 		if c.moves[m] != nil {
 			continue
 		}
@@ -264,7 +264,7 @@
 }
 
 // countAway returns the number of instances that are or may be under maintenance, and removes the steps of those that have returned.
-func (c *session) countAway(row *waveRow) int {
+func (c *session) countAway(row *waveState) int {
 	away := 0
 	for m, s := range row.steps {
 		switch {
@@ -292,20 +292,20 @@
 	if c.now().Before(end) {
 		return false
 	}
-	if w := c.listedWorkerOn(machine); w != nil && w.Life != s.life && w.since.After(s.begun) {
+	if w := c.listedWorkerOn(machine); w != nil && w.Life != s.life && w.listedSince.After(s.begun) {
 		return true
 	}
 	x, ok := c.machines[machine]
-	return ok && c.machinesRead.After(end) && x.State != MachineInUpkeep
+	return ok && c.machinesListedAt.After(end) && x.State != MachineInUpkeep
 }
 
 // startEmptying starts to empty an instance. If an earlier leader began its maintenance without storing that, the maintenance is requested again: the
 // repeated call may be answered like the first one.
-func (c *session) startEmptying(row *waveRow, machine string, now time.Time) {
+func (c *session) startEmptying(row *waveState, machine string, now time.Time) {
 	begun := c.machines[machine].State == MachineInUpkeep && !c.inOtherWave(row, machine)
 	s := &maintenanceStep{since: now, uncertain: row.requested[machine] || begun}
 	if w := c.workerOn(machine); w != nil {
-		w.out = true
+		w.beingEmptied = true
 		s.life = w.Life
 	}
 	row.steps[machine] = s
@@ -314,8 +314,8 @@
 // inOtherWave reports whether another wave has begun or requested the maintenance of the instance. The machine interface does not tell for which wave
 // an instance is under maintenance. Without this check, the instance would be taken for one already begun by this wave, and its maintenance would be
 // requested in excess of the wave's limit.
-func (c *session) inOtherWave(row *waveRow, machine string) bool {
-	for _, o := range c.waveRows {
+func (c *session) inOtherWave(row *waveState, machine string) bool {
+	for _, o := range c.waveStates {
 		if o != row && (o.begun[machine] || o.requested[machine]) {
 			return true
 		}
@@ -324,7 +324,7 @@
 }
 
 func (c *session) listedWorkerOn(machine string) *worker {
-	for _, w := range c.lives[machine] {
+	for _, w := range c.livesByMachine[machine] {
 		if w.listed {
 			return w
 		}
@@ -337,7 +337,7 @@
 	if w := c.listedWorkerOn(machine); w != nil {
 		return w
 	}
-	if lives := c.lives[machine]; len(lives) > 0 {
+	if lives := c.livesByMachine[machine]; len(lives) > 0 {
 		return lives[0]
 	}
 	return nil
@@ -347,7 +347,7 @@
 // all leases granted by earlier leaders have expired.
 func (c *session) isKnownIdle(machine string, now time.Time) bool {
 	x := c.machines[machine]
-	return x.ID == "" || c.over[x.ID] || c.term.Number == 1 || c.doubtOver(now)
+	return x.ID == "" || c.endedLives[x.ID] || c.term.Number == 1 || c.earlierLeasesOver(now)
 }
 
 // tryEmpty reports whether the instance is empty, so that its maintenance interrupts nothing. It stops long-running tasks that their step may miss
@@ -360,16 +360,16 @@
 	if w == nil {
 		return c.isKnownIdle(machine, now)
 	}
-	if !w.heard || w.unread > 0 || !w.silentSince.IsZero() {
+	if !w.answered || w.unreadRuns > 0 || !w.silentSince.IsZero() {
 		return false // it is not known what runs there
 	}
 	s.life = w.Life
-	w.out = true
+	w.beingEmptied = true
 	for t := range w.runs {
 		switch {
 		case t.Stopping:
 		case t.Spec().Lasting:
-			if c.mayTakeAway(t, now) && (s.noTimeLeft || c.fitsElsewhere(t, now)) {
+			if c.canDisrupt(t, now) && (s.noTimeLeft || c.fitsElsewhere(t, now)) {
 				c.stopTask(w, t, "upkeep")
 			}
 		case now.Sub(s.since) > shortWorkGrace:
@@ -393,23 +393,23 @@
 }
 
 // requestMaintenance calls the machine interface to begin the maintenance of the instance.
-func (c *session) requestMaintenance(row *waveRow, machine string, s *maintenanceStep) {
+func (c *session) requestMaintenance(row *waveState, machine string, s *maintenanceStep) {
 	now := c.now()
-	if !c.confirmed(now) || !c.desk.take(c.Machines.PerSecond, now) {
+	if !c.confirmed(now) || !c.machineCalls.tryAcquire(c.Machines.PerSecond, now) {
 		return
 	}
 	s.inFlight = true
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
-		err := c.whileConfirmed(func() error { return c.Machines.Upkeep(ctx, machine, row.Number, c.term.Fence) })
+		err := c.callIfConfirmed(func() error { return c.Machines.Upkeep(ctx, machine, row.Number, c.term.Fence) })
 		c.post(maintenanceAnswered{row: row, machine: machine, step: s, err: err})
 	})
 }
 
 // maintenanceAnswered is the result of a maintenance call.
 type maintenanceAnswered struct {
-	row     *waveRow
+	row     *waveState
 	machine string
 	step    *maintenanceStep
 	err     error
@@ -418,26 +418,26 @@
 func (m maintenanceAnswered) apply(c *session) {
 	m.step.inFlight = false
 	now := c.now()
-	c.desk.done()
+	c.machineCalls.release()
 	switch {
 	case m.err == nil:
 		m.step.away, m.step.uncertain, m.step.begun = true, false, now
-		m.row.begin(m.machine)
+		m.row.markBegun(m.machine)
 		if w := c.workers[m.step.life]; w != nil {
-			c.lose(w, "its upkeep has begun")
+			c.endLife(w, "its upkeep has begun")
 		}
 		c.counts.upkeeps.Inc(1)
 		c.emit(event.UpkeepBegun, event.Subject{Instance: m.machine}, "wave=%d done=%d of %d", m.row.Number, len(m.row.begun), len(m.row.Machines))
 		return
 	case errors.Is(m.err, ErrTooMany):
-		c.desk.rest(now) // the step is retried unchanged
+		c.machineCalls.pause(now) // the step is retried unchanged
 	case errors.Is(m.err, ErrBusy):
 		m.step.uncertain = false
 		m.row.clearRequested(m.machine) // it has not begun, and calls with a lower fencing token can't begin it any more
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
-	case errors.Is(m.err, ErrWave):
-		m.row.begin(m.machine) // the instance no longer exists or does not belong to the wave
+	case errors.Is(m.err, ErrNotInWave):
+		m.row.markBegun(m.machine) // the instance no longer exists or does not belong to the wave
 		delete(m.row.steps, m.machine)
 	default:
 		m.step.uncertain = true
@@ -447,13 +447,13 @@
 }
 
 // publishWave writes the state of the wave for the operator after a change.
-func (c *session) publishWave(row *waveRow) {
+func (c *session) publishWave(row *waveState) {
 	done := len(row.begun) >= len(row.Machines) && row.storedVersion >= row.version
 	if row.writing || (row.running && !done) {
 		return
 	}
 	row.writing = true
-	c.work.Go(func() {
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
 		err := c.PutWave(ctx, row.Number, done)
@@ -463,7 +463,7 @@
 
 // wavePublished is the result of writing the state of a wave.
 type wavePublished struct {
-	row  *waveRow
+	row  *waveState
 	done bool
 	err  error
 }
--- a/pool/upkeep_test.go
+++ b/pool/upkeep_test.go
@@ -23,7 +23,7 @@
 		t.Run(fmt.Sprint(answer), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := quicktest.New(t)
-				b := newBench(c, nil)
+				b := newFixture(c, nil)
 				var mu sync.Mutex // calls are concurrent
 				var asked []string
 				b.Machines.Upkeep = func(_ context.Context, machine string, _, _ int64) error {
@@ -33,7 +33,7 @@
 					return answer
 				}
 				b.PutWave = func(context.Context, int64, bool) error { return nil }
-				wave := Wave{Number: 1, Most: 2, Within: time.Minute}
+				wave := Wave{Number: 1, MaxAway: 2, Within: time.Minute}
 				for i := range 8 {
 					m := fmt.Sprintf("m%d", i)
 					wave.Machines = append(wave.Machines, m)
@@ -42,12 +42,12 @@
 				for _, m := range []string{"m3", "m6"} {
 					b.machines[m] = Machine{Name: m, Pool: "p", State: MachineInUpkeep}
 				}
-				b.machinesRead = time.Now()
-				waveRead{wave: wave}.apply(b.session)
+				b.machinesListedAt = time.Now()
+				waveRequested{wave: wave}.apply(b.session)
 				for range 10 {
 					b.runWaves(time.Now())
-					b.keeps()
-					time.Sleep(tickEvery)
+					b.commitAll()
+					time.Sleep(tickInterval)
 				}
 				for _, m := range asked {
 					c.Assert(m == "m3" || m == "m6", quicktest.IsTrue, quicktest.Commentf("%s beside two others", m))
@@ -62,13 +62,13 @@
 func TestAnUpkeepIsAskedForOnceTheNextLeaderWillKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil)
+		b := newFixture(c, nil)
 		asked := 0
 		b.Machines.Upkeep = func(context.Context, string, int64, int64) error { asked++; return context.DeadlineExceeded }
 		b.PutWave = func(context.Context, int64, bool) error { return nil }
 		b.machines["m0"] = Machine{Name: "m0", Pool: "p"}
-		b.machinesRead = time.Now()
-		waveRead{wave: Wave{Number: 1, Machines: []string{"m0"}, Most: 1, Within: time.Minute}}.apply(b.session)
+		b.machinesListedAt = time.Now()
+		waveRequested{wave: Wave{Number: 1, Machines: []string{"m0"}, MaxAway: 1, Within: time.Minute}}.apply(b.session)
 		b.runWaves(time.Now())
 		synctest.Wait()
 		c.Assert(asked, quicktest.Equals, 0)
@@ -76,10 +76,10 @@
 		b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) { kept = batch.Records; return 1, nil }
 		b.commit()
 		synctest.Wait()
-		next := newBench(c, nil)
-		next.take(feed.KeyedPage{Records: kept}, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		next := newFixture(c, nil)
+		next.fillTables(feed.KeyedPage{Records: kept}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		c.Assert(next.wave(1).requested["m0"], quicktest.IsTrue)
-		for _, m := range b.inbox.take() {
+		for _, m := range b.inbox.takeAll() {
 			m.apply(b.session)
 		}
 		b.runWaves(time.Now())
@@ -95,7 +95,7 @@
 func TestAnInstanceThatIsAwayForAnotherWaveIsNotTakenForBegun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBench(c, nil)
+		b := newFixture(c, nil)
 		var asked []string
 		b.Machines.Upkeep = func(_ context.Context, machine string, wave, _ int64) error {
 			asked = append(asked, fmt.Sprintf("%s in wave %d", machine, wave))
@@ -105,15 +105,15 @@
 		for _, m := range []string{"m0", "m1"} {
 			b.machines[m] = Machine{Name: m, Pool: "p", State: MachineInUpkeep}
 		}
-		b.machinesRead = time.Now()
-		b.wave(2).begin("m1")
-		b.wave(4).begin("m0")
-		waveRead{wave: Wave{Number: 2, Machines: []string{"m0", "m1"}, Most: 1, Within: time.Minute}}.apply(b.session)
-		waveRead{wave: Wave{Number: 4, Machines: []string{"m0"}, Most: 1, Within: time.Minute}}.apply(b.session)
+		b.machinesListedAt = time.Now()
+		b.wave(2).markBegun("m1")
+		b.wave(4).markBegun("m0")
+		waveRequested{wave: Wave{Number: 2, Machines: []string{"m0", "m1"}, MaxAway: 1, Within: time.Minute}}.apply(b.session)
+		waveRequested{wave: Wave{Number: 4, Machines: []string{"m0"}, MaxAway: 1, Within: time.Minute}}.apply(b.session)
 		for range 5 {
 			b.runWaves(time.Now())
-			b.keeps()
-			time.Sleep(tickEvery)
+			b.commitAll()
+			time.Sleep(tickInterval)
 		}
 		c.Assert(asked, quicktest.HasLen, 0)
 	})
--- a/pool/workerrestart_test.go
+++ b/pool/workerrestart_test.go
@@ -25,11 +25,11 @@
 		script func(h *history)
 	}{
 		{"no task runs again", func(h *history) {
-			h.longest = 300 * time.Millisecond
-			h.load(3*time.Second, 60*time.Millisecond)
+			h.maxExtraTime = 300 * time.Millisecond
+			h.submitLoad(3*time.Second, 60*time.Millisecond)
 			for range 3 {
-				h.crashSome(2, 600*time.Millisecond)
-				h.load(2*time.Second, 60*time.Millisecond)
+				h.crashBusy(2, 600*time.Millisecond)
+				h.submitLoad(2*time.Second, 60*time.Millisecond)
 			}
 		}},
 		{"what lasts starts elsewhere soon", func(h *history) {
@@ -37,19 +37,19 @@
 				h.submit(true, 3)
 			}
 			time.Sleep(20 * time.Second)
-			h.crashSome(4, 200*time.Millisecond)
+			h.crashBusy(4, 200*time.Millisecond)
 			time.Sleep(lastingRestartLimit)
 			for _, task := range h.unfinished() {
-				h.wrong = append(h.wrong, fmt.Sprintf("LOST %s is not at work %v after its worker restarted", task, lastingRestartLimit))
+				h.violations = append(h.violations, fmt.Sprintf("LOST %s is not at work %v after its worker restarted", task, lastingRestartLimit))
 			}
 		}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			for seed := range uint64(6) {
-				_, violations := playReborn(t, seed, func(h *history) {
-					h.settled = func() { h.forgiveUnlucky() }
+				_, violations := runHistoryReusingIDs(t, seed, func(h *history) {
+					h.beforeCheck = func() { h.excludeGivenUp() }
 					x.script(h)
-					h.settle()
+					h.healAndCheck()
 				})
 				for _, y := range violations[:min(len(violations), 3)] {
 					t.Errorf("seed %d, one of %d: %s", seed, len(violations), y)
@@ -63,7 +63,7 @@
 const lastingRestartLimit = 6 * time.Second
 
 // crashBusy crashes the workers of instances that run tasks, up to the given count. They restart after a while.
-func (h *history) crashSome(count int, after time.Duration) {
+func (h *history) crashBusy(count int, after time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range historyZones * historyWorkers {
@@ -80,9 +80,9 @@
 }
 
 // isBusy reports whether the worker runs a task. The lock must be held.
-func (l *life) isBusy() bool {
+func (l *incarnation) isBusy() bool {
 	for _, x := range l.runs {
-		if x.to.IsZero() {
+		if x.endedAt.IsZero() {
 			return true
 		}
 	}
@@ -98,18 +98,18 @@
 	for i := range *histories {
 		seed := *first + uint64(i)
 		_, violations := runHistoryWith(t, seed, historyWorkers, simCapacity, 0.8, func(h *history) {
-			h.settled = func() { h.forgiveUnlucky() }
-			h.answersAgain = seed%2 == 0
+			h.beforeCheck = func() { h.excludeGivenUp() }
+			h.repeatsBeforeFencing = seed%2 == 0
 			for range historySteps {
-				h.step()
+				h.randomStep()
 				if !*lateOrders {
 					h.setLate(0)
 				}
 				if h.oneIn(3) {
-					h.crashSome(1+int(seed%3), time.Duration(seed%5)*300*time.Millisecond)
+					h.crashBusy(1+int(seed%3), time.Duration(seed%5)*300*time.Millisecond)
 				}
 			}
-			h.settle()
+			h.healAndCheck()
 		})
 		for _, x := range violations[:min(len(violations), 3)] {
 			t.Errorf("seed %d, one of %d: %s", seed, len(violations), x)
--- a/pool/workers.go
+++ b/pool/workers.go
@@ -45,7 +45,7 @@
 	unconfirmedAfter    = 700 * time.Millisecond
 	// reportMaxAge is the maximum age of a worker's latest report for its statements about a lasting task to be used: one hold and the pause
 	// after it.
-	toldWithin = 2500 * time.Millisecond
+	reportMaxAge = 2500 * time.Millisecond
 	// minKnownTime is how long a life must be known before the list of instances can declare it ended, because that list may lag behind the list of workers.
 	minKnownTime = 2500 * time.Millisecond
 	// silentListInterval is the interval between two listings of the instances while workers are silent.
@@ -62,7 +62,7 @@
 
 // followWorkers tails the list of workers and posts its pages.
 func (c *session) followWorkers() {
-	from := c.serversEnd
+	from := c.workersOffset
 	for c.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(c.ctx, intakeWait+storeTimeout)
 		page, err := c.Workers.Read(ctx, from, intakeWait)
@@ -76,12 +76,12 @@
 			complete = true
 		}
 		if err != nil {
-			sleep(c.ctx, storePause)
+			sleep(c.ctx, storeRetryPause)
 			continue
 		}
 		from = page.Next
 		c.post(workersRead{page: page, complete: complete})
-		sleep(c.ctx, workersEvery)
+		sleep(c.ctx, workersPollInterval)
 	}
 }
 
@@ -96,7 +96,7 @@
 	slices.SortFunc(m.page.Records, func(a, b feed.KeyedRecord) int { return cmp.Compare(a.Offset, b.Offset) })
 	for _, r := range m.page.Records {
 		named[r.Key] = len(r.Value) > 0
-		if w := c.listWorker(r.Key, r.Value); w != nil {
+		if w := c.applyWorkerRecord(r.Key, r.Value); w != nil {
 			c.startHolds(w)
 		}
 	}
@@ -113,10 +113,10 @@
 // applyWorkerRecord applies a record of the list of workers. It returns the worker if it is new.
 //
 // A record of another life under the same ID does not end a listed life; which of them is alive is known only from the answers to calls.
-func (c *session) listWorker(id string, value []byte) *worker {
+func (c *session) applyWorkerRecord(id string, value []byte) *worker {
 	if len(value) == 0 {
 		c.foreign.drop(id)
-		for _, w := range c.bearing(id) {
+		for _, w := range c.livesWithID(id) {
 			if w.listed {
 				c.markUnlisted(w)
 			}
@@ -131,12 +131,12 @@
 	c.acceptEntry(id)
 	w := c.workers[row.Life]
 	if w == nil {
-		if c.over[row.Life] {
+		if c.endedLives[row.Life] {
 			return nil // the record is older than the proof that the life has ended
 		}
 		w = newWorker(row, c.Clock, &c.ledger)
 		c.addWorker(w)
-		c.emit(event.WorkerSeen, event.Subject{Instance: row.Life}, "machine=%s pool=%s room=%d leaving=%t", row.Machine, row.Pool, row.Room.MilliCPU, row.Leaving)
+		c.emit(event.WorkerSeen, event.Subject{Instance: row.Life}, "machine=%s pool=%s room=%d leaving=%t", row.Machine, row.Pool, row.Capacity.MilliCPU, row.Leaving)
 		return w
 	}
 	if w.Leaving != row.Leaving || !w.listed {
@@ -148,43 +148,43 @@
 
 // updateWorker applies a newer record of a known life.
 func (c *session) updateWorker(w *worker, row work.Worker) {
-	if row.Room != w.Room {
-		c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Room.MilliCPU, w.Room.MilliCPU)
+	if row.Capacity != w.Capacity {
+		c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Capacity.MilliCPU, w.Capacity.MilliCPU)
 	}
-	w.room.Free = w.room.Free.Plus(row.Room.Minus(w.Room)) // negative if the capacity is now less than the running tasks need
+	w.room.Free = w.room.Free.Plus(row.Capacity.Minus(w.Capacity)) // negative if the capacity is now less than the running tasks need
 	startsLeaving := row.Leaving && !w.Leaving
 	if row.Machine != w.Machine {
-		heard := w.heard
+		heard := w.answered
 		c.removeWorker(w)
 		w.Machine = row.Machine
 		c.addWorker(w)
 		if heard {
-			c.heard++
+			c.answeredCount++
 		}
 	}
-	w.coldFor(row.Cold, c.now())
+	w.updateCold(row.Cold, c.now())
 	w.Worker = row
 	w.drained = c.drains[w.DataCentre] != nil
 	w.listed = true
-	c.dirtyPool(w.Pool)
+	c.markPoolDirty(w.Pool)
 	if startsLeaving {
-		c.leave(w)
+		c.markLeaving(w)
 	}
 }
 
 func (c *session) markUnlisted(w *worker) {
 	w.listed = false
 	c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s no longer listed runs=%d", w.Machine, len(w.runs))
-	c.leave(w)
+	c.markLeaving(w)
 }
 
 // endPreviousLives ends the other lives of the instance of a worker that has just answered for the first time, because an instance has one life at a time. The
 // list of workers is no proof, since it may name ended lives. Neither is an answer to a call that was made before the other life was known.
 func (c *session) endPreviousLives(w *worker) {
-	for _, o := range slices.Clone(c.lives[w.Machine]) {
-		if o != w && o.Machine != "" && o.ID != w.ID && o.since.Before(w.asked) {
+	for _, o := range slices.Clone(c.livesByMachine[w.Machine]) {
+		if o != w && o.Machine != "" && o.ID != w.ID && o.listedSince.Before(w.askedAt) {
 			o.idRetired = true
-			c.lose(o, "the instance has a new life "+w.Life)
+			c.endLife(o, "the instance has a new life "+w.Life)
 		}
 	}
 }
@@ -197,11 +197,11 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	w.cancel = cancel
 	row := w.Worker // a copy, because the table's row may change
-	c.work.Go(func() { c.hold(ctx, w, &row) })
+	c.background.Go(func() { c.hold(ctx, w, &row) })
 }
 
 // holdResult is the outcome of a hold.
-type holdEnded struct {
+type holdResult struct {
 	worker *worker
 	// token is the fencing token that the hold carried.
 	token int64
@@ -215,7 +215,7 @@
 }
 
 // asOf returns the earliest time that the report can date from. A report without ends was delayed by the hold's full wait.
-func (m holdEnded) asOf(now time.Time) time.Time {
+func (m holdResult) asOf(now time.Time) time.Time {
 	if waited := m.asked.Add(m.wait); len(m.report.Ended) == 0 && waited.Before(now) {
 		return waited
 	}
@@ -239,12 +239,12 @@
 			o.Wait = 0
 		case c.unconfirmed(now):
 			o.Wait = unconfirmedHoldWait
-		case w.mixed.Load():
+		case w.mixedLoad.Load():
 			o.Wait = pacedWait
-		case w.brief.Load() > 0:
+		case w.finiteRuns.Load() > 0:
 			o.Wait = shortHoldWait
 		}
-		if o.Idle = w.held.Load() == 0; o.Idle && c.crowded() {
+		if o.Idle = w.runCount.Load() == 0; o.Idle && c.crowded() {
 			o.Wait = 0 // frees the connection for other workers
 		}
 		timeout := o.Wait + holdTimeout
@@ -256,7 +256,7 @@
 		}
 		release := func() {}
 		if first {
-			release = c.firstHolds.enter(ctx)
+			release = c.firstHoldSemaphore.acquire(ctx)
 		}
 		call, cancel := context.WithTimeout(ctx, timeout)
 		rep, err := c.Calls.Hold(call, row, o)
@@ -265,23 +265,23 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, work.ErrCrowded) {
+		if errors.Is(err, work.ErrTooManyConnections) {
 			sleep(ctx, crowdedPause) // the worker was not called, so it does not count as silent
 			continue
 		}
 		if err == nil {
-			w.read(rep.Clock)
+			w.readClock(rep.Clock)
 		}
-		c.post(holdEnded{worker: w, token: o.Fence, asked: now, wait: o.Wait, report: rep, err: err, failedAt: c.now()})
+		c.post(holdResult{worker: w, token: o.Fence, asked: now, wait: o.Wait, report: rep, err: err, failedAt: c.now()})
 		silent = err != nil
-		if err != nil || rep.Refusal != work.Done {
+		if err != nil || rep.Refusal != work.Accepted {
 			sleep(ctx, c.retryPause(w, row.Birth, pause, heard))
 			pause = min(2*pause, retryMax)
 			continue
 		}
 		heard = now
 		pause = retryFirst
-		if first = o.Fence < w.needs.Load(); first {
+		if first = o.Fence < w.requiredToken.Load(); first {
 			continue // the token has been raised since this hold was sent
 		}
 		w.awaitStoredEnds(ctx, rep.Ended)
@@ -290,10 +290,10 @@
 }
 
 // awaitStoredEnds waits up to ackWait until the ends are stored, so that the next hold can acknowledge them.
-func (w *worker) awaitStoredEnds(ctx context.Context, ends []work.End) {
+func (w *worker) awaitStoredEnds(ctx context.Context, ends []work.EndedRun) {
 	newest := int64(0)
 	for _, e := range ends {
-		newest = max(newest, e.N)
+		newest = max(newest, e.Seq)
 	}
 	wait := ackWait
 	if w.ackDelayed.Load() {
@@ -303,7 +303,7 @@
 	defer t.Stop()
 	for w.acked.Load() < newest {
 		select {
-		case <-w.signal:
+		case <-w.ackSignal:
 		case <-t.C:
 			return
 		case <-ctx.Done():
@@ -313,15 +313,15 @@
 }
 
 // checkLeases handles silent workers, whose runs are given up when the life has ended or the lease has expired. It also lists the instances when that is due.
-func (c *session) watchLeases(now time.Time) {
-	c.countProofs(now)
-	c.countRaised(now)
+func (c *session) checkLeases(now time.Time) {
+	c.updateQuorum(now)
+	c.updateRaised(now)
 	c.publishEarlier(now)
 	silent := false
 	workers, runs, pending := 0, 0, int32(0)
 	for _, w := range c.workers {
-		if w.lost != "" && c.confirmed(now) {
-			c.lose(w, w.lost)
+		if w.lostReason != "" && c.confirmed(now) {
+			c.endLife(w, w.lostReason)
 			continue
 		}
 		if w.silentSince.IsZero() {
@@ -334,26 +334,26 @@
 			pending++
 		}
 		if c.confirmed(now) && c.leaseExpired(w, now) {
-			c.endLease(w, now)
+			c.expireLease(w, now)
 		}
 	}
-	c.counts.misread.Update(float64(len(c.foreign.entries)))
+	c.counts.unreadableEntries.Update(float64(len(c.foreign.entries)))
 	c.silentPending.Store(pending)
-	c.counts.silent.Update(float64(workers))
-	c.counts.doubted.Update(float64(runs))
+	c.counts.silentWorkers.Update(float64(workers))
+	c.counts.uncertainRuns.Update(float64(runs))
 	c.expireUnheard(now)
 	every := listInterval
 	if silent || c.waveActive() {
 		every = silentListInterval
 	}
-	if !c.machinesAsk && now.Sub(c.machinesAt) > max(every, listPauseFactor*c.machinesTook) {
+	if !c.machinesAsking && now.Sub(c.machinesAskedAt) > max(every, listPauseFactor*c.machinesListTime) {
 		c.listMachines()
 	}
 }
 
 // waveActive reports whether any upkeep wave is unfinished.
 func (c *session) waveActive() bool {
-	for _, row := range c.waveRows {
+	for _, row := range c.waveStates {
 		if !row.finished {
 			return true
 		}
@@ -366,41 +366,41 @@
 	if now.Before(w.leasedUntil()) {
 		return false
 	}
-	return w.heard || c.doubtOverOn(w, now)
+	return w.answered || c.earlierLeasesOverOn(w, now)
 }
 
 // expireUnheard removes those workers from unheard on which every lease of the earlier leader has expired.
 func (c *session) expireUnheard(now time.Time) {
 	ended := 0
-	for life, w := range c.unheard {
-		if c.doubtOverOn(w, now) {
-			delete(c.unheard, life)
+	for life, w := range c.uncertainLives {
+		if c.earlierLeasesOverOn(w, now) {
+			delete(c.uncertainLives, life)
 			ended++
 		}
 	}
 	if ended > 0 {
 		c.emit(event.WorkerLost, event.Subject{}, "the last lease of the earlier leader is over on %d workers", ended)
-		c.dirtyAll()
+		c.markAllDirty()
 	}
 }
 
 // expireLease gives up the runs of a worker whose lease has expired. A worker that is not listed either is removed.
 //
 // Expiry does not settle an unanswered start: the next life under the worker's ID may carry it out, and the start's deadline means nothing on that life's clock.
-func (c *session) endLease(w *worker, now time.Time) {
+func (c *session) expireLease(w *worker, now time.Time) {
 	late := 0
 	for t, r := range w.runs {
-		if w.mayComeLate(t, r, now) {
+		if w.mayStartLate(t, r, now) {
 			late++
 		}
 	}
 	if !w.listed && late == 0 {
-		c.leaveOut(w, "its lease is over and it is not listed") // the life may go on and be listed again
+		c.removeLife(w, "its lease is over and it is not listed") // the life may go on and be listed again
 		return
 	}
 	if over := len(w.runs) - late; over > 0 {
 		c.emit(event.WorkerLost, event.Subject{Instance: w.Life}, "its lease is over runs=%d late=%d", over, late)
-		c.abandonRuns(w, func(t *job.Task, r *run) bool { return !w.mayComeLate(t, r, now) })
+		c.abandonRuns(w, func(t *job.Task, r *run) bool { return !w.mayStartLate(t, r, now) })
 	}
 }
 
@@ -408,20 +408,20 @@
 //
 // While the store does not confirm the lead, this is put off: the runs would be started elsewhere although another leader may have received their ends, or may
 // have ended the life itself.
-func (c *session) lose(w *worker, why string) {
+func (c *session) endLife(w *worker, why string) {
 	if !c.confirmed(c.now()) {
-		w.lost = why
+		w.lostReason = why
 		return
 	}
-	c.over[w.Life] = true
-	c.leaveOut(w, why)
+	c.endedLives[w.Life] = true
+	c.removeLife(w, why)
 }
 
 // removeLife removes a life from the tables, whether it has ended or only its lease has expired.
-func (c *session) leaveOut(w *worker, why string) {
+func (c *session) removeLife(w *worker, why string) {
 	c.emit(event.WorkerLost, event.Subject{Instance: w.Life}, "%s runs=%d", why, len(w.runs))
 	c.counts.lost.Inc(1)
-	if c.over[w.Life] && (w.heir == nil || w.Birth != 0) { // an heir of a life without a birth may be the same life
+	if c.endedLives[w.Life] && (w.successor == nil || w.Birth != 0) { // an heir of a life without a birth may be the same life
 		c.attributeLostRuns(w, c.now())
 	}
 	c.abandonRuns(w, func(*job.Task, *run) bool { return true })
@@ -429,11 +429,11 @@
 		w.cancel()
 	}
 	c.removeWorker(w)
-	c.lifeChanged(w.Life)
-	delete(c.workersKept, w.Life)
+	c.markLifeDirty(w.Life)
+	delete(c.storedLives, w.Life)
 	delete(c.aside, lifeKey+w.Life)
-	c.dirtyPool(w.Pool) // also for jobs of an earlier leader that waited for this worker
-	delete(c.unheard, w.Life)
+	c.markPoolDirty(w.Pool) // also for jobs of an earlier leader that waited for this worker
+	delete(c.uncertainLives, w.Life)
 	go c.Calls.Forget(&w.Worker)
 }
 
@@ -443,7 +443,7 @@
 // A run that the life never confirmed may be on the life that now bears its ID, because the start was addressed to the ID and may be carried out late. Such a
 // run is handed on to that life.
 func (c *session) abandonRuns(w *worker, which func(t *job.Task, r *run) bool) {
-	heir, now := c.heirOf(w), c.now()
+	heir, now := c.successorOf(w), c.now()
 	for t, r := range w.runs {
 		if !which(t, r) {
 			continue
@@ -451,24 +451,24 @@
 		if w.idRetired {
 			c.clearLate(t)
 		}
-		w.drop(t)
+		w.dropRun(t)
 		switch {
 		case t.Run != r.number:
-		case heir != nil && (w.unsettled(r) || t.MayComeLate(now)) && t.Phase != job.Finished && !t.Job.State.Ended():
-			c.handOn(heir, t, r)
+		case heir != nil && (w.mayBeAtSuccessor(r) || t.MayComeLate(now)) && t.Phase != job.Finished && !t.Job.State.Ended():
+			c.carryOver(heir, t, r)
 		default:
 			c.requeue(t)
 		}
 	}
-	w.setBesides(nil)
+	w.setSupersededRuns(nil)
 }
 
 // listMachines requests the list of instances and their lives from the machine interface.
 func (c *session) listMachines() {
-	c.machinesAsk = true
-	c.machinesAt = c.now()
-	asked := c.machinesAt
-	c.work.Go(func() {
+	c.machinesAsking = true
+	c.machinesAskedAt = c.now()
+	asked := c.machinesAskedAt
+	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, listTimeout)
 		defer cancel()
 		list, err := c.Machines.List(ctx)
@@ -484,18 +484,18 @@
 }
 
 func (m machinesListed) apply(c *session) {
-	c.machinesAsk = false
-	c.machinesTook = c.now().Sub(m.asked)
+	c.machinesAsking = false
+	c.machinesListTime = c.now().Sub(m.asked)
 	if m.err != nil { // retried at the next interval
 		c.emit(event.PlatformUnreachable, event.Subject{Entry: c.Entry}, "list of instances: %v", m.err)
 		return
 	}
 	now := c.now()
-	c.machinesRead = m.asked
+	c.machinesListedAt = m.asked
 	named := make(map[string]bool, len(m.list))
 	for _, x := range m.list {
 		named[x.Name] = true
-		if now.Sub(c.ownWord[x.Name]) > ownWord {
+		if now.Sub(c.movedAt[x.Name]) > localStateTTL {
 			c.machines[x.Name] = x
 		}
 	}
@@ -504,7 +504,7 @@
 			delete(c.machines, name)
 		}
 	}
-	c.names = nil // the set may differ even if its size does not
+	c.machineNames = nil // the set may differ even if its size does not
 	for _, w := range c.workers {
 		c.checkInstance(w, now)
 	}
@@ -512,20 +512,20 @@
 
 // checkInstance ends a silent life if the list of instances names another life for its instance, or does not name the instance.
 func (c *session) checkInstance(w *worker, now time.Time) {
-	if w.silentSince.IsZero() || now.Sub(w.since) < minKnownTime || now.Sub(w.silentSince) < silentAfter || w.Machine == "" {
-		w.unnamed = 0
+	if w.silentSince.IsZero() || now.Sub(w.listedSince) < minKnownTime || now.Sub(w.silentSince) < silentAfter || w.Machine == "" {
+		w.missedLists = 0
 		return
 	}
 	x, ok := c.machines[w.Machine]
 	switch {
 	case ok && (x.ID != w.ID || x.Pool != w.Pool):
 		w.idRetired = x.ID != w.ID
-		c.lose(w, "the machine interface knows its instance by another life")
+		c.endLife(w, "the machine interface knows its instance by another life")
 	case ok:
-		w.unnamed = 0
-	case w.unnamed > 0: // the pages of a list are no consistent snapshot, so one omission is not enough
-		c.lose(w, "the machine interface knows its instance no longer")
+		w.missedLists = 0
+	case w.missedLists > 0: // the pages of a list are no consistent snapshot, so one omission is not enough
+		c.endLife(w, "the machine interface knows its instance no longer")
 	default:
-		w.unnamed++
+		w.missedLists++
 	}
 }
--- a/upkeep/bursts.go
+++ b/upkeep/bursts.go
@@ -31,7 +31,7 @@
 )
 
 // Burst describes the bursts of load of one pool.
-type Turn struct {
+type Burst struct {
 	// Began is when its latest burst began, or zero if it had none.
 	Began time.Time
 	// Need is the maximum smoothed demand of its latest burst, in instances.
@@ -42,7 +42,7 @@
 	load float64
 	seen time.Time
 	// Active reports that the burst continues. calm is since when its load has been low.
-	Loaded bool
+	Active bool
 	calm   time.Time
 	// Missed reports that its burst did not come when it was expected.
 	Missed bool
@@ -52,19 +52,19 @@
 
 // Bursts learns the pattern in which bursts of load pass from pool to pool: one pool after the other has a burst, at
 // regular intervals. The zero value is ready to use.
-type Turns struct {
-	Pools map[string]*Turn
+type Bursts struct {
+	Pools map[string]*Burst
 	// Interval is the average time between the beginnings of successive bursts, or 0 while it is unknown.
-	Gap time.Duration
+	Interval time.Duration
 	// Last is the pool with the latest burst.
 	Last string
 	// SecondRound reports that some pool has had a second burst, so that pools without a burst are taken to have
 	// none.
-	Round bool
+	SecondRound bool
 }
 
 // ExpectedBurst is a burst that is expected, with its demand in instances.
-type Expected struct {
+type ExpectedBurst struct {
 	Pool string
 	Need float64
 }
@@ -78,13 +78,13 @@
 }
 
 // Observe records the current load of a pool.
-func (t *Turns) See(pool string, l Load, now time.Time) {
+func (t *Bursts) Observe(pool string, l Load, now time.Time) {
 	if t.Pools == nil {
-		t.Pools = make(map[string]*Turn)
+		t.Pools = make(map[string]*Burst)
 	}
 	p := t.Pools[pool]
 	if p == nil {
-		p = new(Turn)
+		p = new(Burst)
 		t.Pools[pool] = p
 	}
 	if !p.seen.IsZero() {
@@ -95,45 +95,45 @@
 	load := p.load
 	from := max(onsetMin, onsetShare*float64(l.Have), onsetPart*t.need(p))
 	switch {
-	case load >= from && !p.Loaded:
+	case load >= from && !p.Active:
 		t.begin(pool, p, now)
 		p.Need, p.Used = load, 0
-	case load < from/2 && p.Loaded:
+	case load < from/2 && p.Active:
 		if p.calm.IsZero() {
 			p.calm = now
 		}
 		if now.Sub(p.calm) >= calmPeriod {
-			p.Loaded, p.Ended = false, true
+			p.Active, p.Ended = false, true
 		}
 	default:
 		p.calm = time.Time{}
 	}
-	if p.Loaded {
+	if p.Active {
 		p.Need = max(p.Need, load)
 		p.Used = max(p.Used, l.Used)
 	}
 }
 
-func (t *Turns) begin(pool string, p *Turn, now time.Time) {
+func (t *Bursts) begin(pool string, p *Burst, now time.Time) {
 	if last := t.Pools[t.Last]; last != nil {
 		interval := now.Sub(last.Began)
 		switch {
-		case t.Gap == 0 || interval > maxIntervalRatio*t.Gap:
-			t.Gap = interval
+		case t.Interval == 0 || interval > maxIntervalRatio*t.Interval:
+			t.Interval = interval
 		default:
-			t.Gap += time.Duration(intervalWeight * float64(interval-t.Gap))
+			t.Interval += time.Duration(intervalWeight * float64(interval-t.Interval))
 		}
 	}
 	if e := t.due(); len(e) == 1 && e[0] != pool {
 		t.Pools[e[0]].Missed = true
 	}
-	t.Round = t.Round || !p.Began.IsZero()
-	p.Began, p.Loaded, p.calm, p.Missed = now, true, time.Time{}, false
+	t.SecondRound = t.SecondRound || !p.Began.IsZero()
+	p.Began, p.Active, p.calm, p.Missed = now, true, time.Time{}, false
 	t.Last = pool
 }
 
 // need returns the demand of a burst of the pool: that of its latest burst, or the mean of the other pools.
-func (t *Turns) need(p *Turn) float64 {
+func (t *Bursts) need(p *Burst) float64 {
 	if p.Need > 0 {
 		return p.Need
 	}
@@ -154,17 +154,17 @@
 // complete burst, it returns those of its latest one, with known set. If the pool is taken to have no bursts, it
 // returns 0, with known set. Otherwise it returns the mean of the other pools' bursts that are complete or have
 // lasted for settledAfter, or 0 if there are none, with known not set.
-func (t *Turns) Whole(pool string, now time.Time) (need, used float64, known bool) {
+func (t *Bursts) FullDemand(pool string, now time.Time) (need, used float64, known bool) {
 	p := t.Pools[pool]
 	switch {
 	case p != nil && p.Ended:
 		return p.Need, p.Used, true
-	case t.Round && (p == nil || p.Began.IsZero()):
+	case t.SecondRound && (p == nil || p.Began.IsZero()):
 		return 0, 0, true
 	}
 	n := 0
 	for _, o := range t.Pools {
-		if o.Ended || (o.Loaded && o != p && now.Sub(o.Began) >= settledAfter) {
+		if o.Ended || (o.Active && o != p && now.Sub(o.Began) >= settledAfter) {
 			need += o.Need
 			used += o.Used
 			n++
@@ -178,12 +178,12 @@
 
 // due returns the pools that may have the next burst: in the first round those that have had none, otherwise the
 // pool whose last burst is the longest ago.
-func (t *Turns) due() []string {
+func (t *Bursts) due() []string {
 	var fresh []string
 	oldest := ""
 	for name, p := range t.Pools {
 		switch {
-		case p.Loaded || p.Missed || name == t.Last:
+		case p.Active || p.Missed || name == t.Last:
 		case p.Began.IsZero():
 			fresh = append(fresh, name)
 		case oldest == "" || p.Began.Before(t.Pools[oldest].Began):
@@ -191,7 +191,7 @@
 		}
 	}
 	switch {
-	case len(fresh) > 0 && !t.Round:
+	case len(fresh) > 0 && !t.SecondRound:
 		return fresh
 	case oldest != "":
 		return []string{oldest}
@@ -201,32 +201,32 @@
 
 // Next returns the bursts that are expected to begin within the given time. If several pools are equally likely, the
 // demand is divided among them.
-func (t *Turns) Next(within time.Duration, now time.Time) []Expected {
+func (t *Bursts) Next(within time.Duration, now time.Time) []ExpectedBurst {
 	last := t.Pools[t.Last]
-	if last == nil || t.Gap == 0 {
+	if last == nil || t.Interval == 0 {
 		return nil
 	}
-	at := last.Began.Add(t.Gap)
-	if now.Before(at.Add(-within)) || now.After(at.Add(time.Duration(maxLateness*float64(t.Gap)))) {
+	at := last.Began.Add(t.Interval)
+	if now.Before(at.Add(-within)) || now.After(at.Add(time.Duration(maxLateness*float64(t.Interval)))) {
 		return nil
 	}
 	due := t.due()
-	out := make([]Expected, 0, len(due))
+	out := make([]ExpectedBurst, 0, len(due))
 	for _, name := range due {
-		out = append(out, Expected{Pool: name, Need: t.need(t.Pools[name]) / float64(len(due))})
+		out = append(out, ExpectedBurst{Pool: name, Need: t.need(t.Pools[name]) / float64(len(due))})
 	}
 	return out
 }
 
 // Active reports whether the pool has a burst now.
-func (t *Turns) Loaded(pool string) bool {
+func (t *Bursts) Active(pool string) bool {
 	p := t.Pools[pool]
-	return p != nil && p.Loaded
+	return p != nil && p.Active
 }
 
 // DemandUnknown reports whether the pool may still have its first burst, or has not completed it, so that the demand
 // of its bursts is unknown.
-func (t *Turns) Fresh(pool string) bool {
+func (t *Bursts) DemandUnknown(pool string) bool {
 	p := t.Pools[pool]
-	return !t.Round && (p == nil || !p.Ended)
+	return !t.SecondRound && (p == nil || !p.Ended)
 }
--- a/upkeep/moves.go
+++ b/upkeep/moves.go
@@ -15,13 +15,13 @@
 	// Headroom pools hold instances that are switched off. Instances that no other pool needs belong there.
 	Headroom bool
 	// Want is the number of instances that its tasks need now. Min is the number that it must not fall below.
-	Want, Keep float64
+	Want, Min float64
 	// LongTermNeed is the number that it needed over a longer time; instances beyond it are moved to the headroom.
 	// SoonNeed is the number that it is expected to need soon.
-	Idle, Soon float64
+	LongTermNeed, SoonNeed float64
 	// Missing is, by label, the number of instances with that label that its tasks wait for. The key AnyLabel
 	// stands for instances with any labels.
-	Lacks map[string]int
+	Missing map[string]int
 	// Have is the number of instances that serve the pool or are moving to it.
 	Have int
 }
@@ -50,7 +50,7 @@
 	m := planner{pools: make(map[string]*Pool, len(pools)), sources: make(map[string]*queue, len(pools)), all: instances}
 	for i := range pools {
 		p := pools[i]
-		p.Lacks = maps.Clone(p.Lacks)
+		p.Missing = maps.Clone(p.Missing)
 		m.pools[p.Name] = &p
 		m.names = append(m.names, p.Name)
 		if p.Headroom && m.headroom == "" {
@@ -229,7 +229,7 @@
 // supplyMissing moves an instance with a missing label to the pool. It reports whether there was one.
 func (m *planner) supplyMissing(to *Pool) bool {
 	var best *row
-	for label, n := range to.Lacks {
+	for label, n := range to.Missing {
 		if n <= 0 {
 			continue
 		}
@@ -250,17 +250,19 @@
 const AnyLabel = ""
 
 // hasSpare reports whether a pool can give up an instance without falling below its minimum.
-func hasSpare(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(p.Keep) }
+func hasSpare(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(p.Min) }
 
 // hasIdle reports whether a pool has had an instance more than it needed for a longer time, and is not expected to
 // need it soon.
-func hasIdle(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(max(p.Keep, p.Idle, p.Soon)) }
+func hasIdle(p *Pool) bool {
+	return float64(p.Have-1) >= math.Ceil(max(p.Min, p.LongTermNeed, p.SoonNeed))
+}
 
 // supplySoon moves idle instances to the pools that are expected to need them soon.
 func (m *planner) supplySoon() {
-	gives := func(from *Pool) bool { return hasSpare(from) && float64(from.Have-1) >= from.Soon }
+	gives := func(from *Pool) bool { return hasSpare(from) && float64(from.Have-1) >= from.SoonNeed }
 	for _, n := range m.names {
-		for p := m.pools[n]; float64(p.Have) < math.Ceil(p.Soon); {
+		for p := m.pools[n]; float64(p.Have) < math.Ceil(p.SoonNeed); {
 			x := m.cheapest(p, gives, (*queue).next)
 			if x == nil || x.Runs > 0 {
 				return
@@ -274,10 +276,10 @@
 	m.moves = append(m.moves, Move{Instance: x.Name, From: x.Pool, To: to.Name})
 	m.pools[x.Pool].Have--
 	to.Have++
-	if len(to.Lacks) > 0 {
-		to.Lacks[AnyLabel]--
+	if len(to.Missing) > 0 {
+		to.Missing[AnyLabel]--
 		for _, l := range x.Labels {
-			to.Lacks[l]--
+			to.Missing[l]--
 		}
 	}
 	x.taken = true
--- a/upkeep/wave.go
+++ b/upkeep/wave.go
@@ -26,13 +26,13 @@
 // Wave is the progress of a wave of instance upkeep.
 type Wave struct {
 	// MaxAway is the number of instances that may be away at the same time.
-	Most int
+	MaxAway int
 	// Remaining is the number of instances whose upkeep is not done, Out the number of those that are being emptied
 	// or are away, and OutLasting the number of those that still have lasting tasks.
-	Left, Out, OutLasting int
+	Remaining, Out, OutLasting int
 	// Within is the time allowed for the wave, Elapsed the time since its start, and Each the duration of one
 	// upkeep.
-	Within, Since, Each time.Duration
+	Within, Elapsed, Each time.Duration
 }
 
 // Candidate is an instance whose upkeep may begin.
@@ -45,8 +45,8 @@
 // width returns how many of the given number of instances must be out at the same time for the wave to end in time,
 // if each takes the given time to be emptied.
 func (w Wave) width(instances int, empty time.Duration) int {
-	left := time.Duration(plannedPart*float64(w.Within)) - w.Since
-	most := 2 * max(w.Most, 1) // as many are being emptied as are away, so that the next one is always ready
+	left := time.Duration(plannedPart*float64(w.Within)) - w.Elapsed
+	most := 2 * max(w.MaxAway, 1) // as many are being emptied as are away, so that the next one is always ready
 	if left <= 0 {
 		return most
 	}
@@ -64,7 +64,7 @@
 		return cmp.Or(cmp.Compare(a.Lasting, b.Lasting), cmp.Compare(a.Runs, b.Runs), cmp.Compare(a.Name, b.Name))
 	})
 	spare := maps.Clone(surplus)
-	width := w.width(w.Left, emptyTime)
+	width := w.width(w.Remaining, emptyTime)
 	var out []Candidate
 	var busy, lasting []Candidate
 	for _, x := range all {
@@ -73,7 +73,7 @@
 			continue
 		}
 		idle := x.Runs == 0 && spare[x.Pool] > 0
-		if !idle || w.Out+len(out) >= max(w.Most, 1) {
+		if !idle || w.Out+len(out) >= max(w.MaxAway, 1) {
 			busy = append(busy, x)
 			continue
 		}
--- a/work/calls.go
+++ b/work/calls.go
@@ -18,7 +18,7 @@
 	ErrNoAnswer = errors.New("worker did not answer; check which runs it reports before retrying")
 	// ErrTooManyConnections means that nothing was sent: the entry is near its connection limit and does not open a
 	// connection to a worker that has no work.
-	ErrCrowded = errors.New("too many open connections; retry when others have been closed")
+	ErrTooManyConnections = errors.New("too many open connections; retry when others have been closed")
 )
 
 // Worker describes one life of a worker, as listed by the platform.
@@ -36,7 +36,7 @@
 	Labels []string
 	Rack   string
 	// Capacity is the total capacity of the worker.
-	Room job.Need
+	Capacity job.Need
 	// Cold is for how much longer the worker is slow after its start, counted from when the list entry was made.
 	Cold time.Duration
 	// Leaving reports whether the worker is about to be shut down as planned; Remaining is the minimum time until
@@ -54,19 +54,19 @@
 // Reasons for refusing an order.
 const (
 	// Accepted means that the order was carried out.
-	Done Refusal = iota
+	Accepted Refusal = iota
 	// Fenced means that the worker has seen a higher fencing token.
 	Fenced
 	// OldRun means that the run's number is not higher than that of a run that was stopped or has ended there.
-	Old
+	OldRun
 	// DeadlinePassed means that the order arrived after its deadline.
-	Late
+	DeadlinePassed
 	// NoRoom means that the worker lacks the free capacity.
 	NoRoom
 	// BadTicket means that the step may only be started with a valid ticket.
 	BadTicket
 	// InvalidOrder stands for any other error status: the worker takes the order for a mistake.
-	Unknown
+	InvalidOrder
 	// Unhealthy means that the worker currently takes no orders; the order had no effect.
 	Unhealthy
 	// OtherLife means that another life of the worker now serves the address.
@@ -130,12 +130,12 @@
 }
 
 // Outcome is how a run ended.
-type How uint8
+type Outcome uint8
 
 // Outcomes of a run.
 const (
 	// Other outcomes do not count against the task.
-	Other How = iota
+	Other Outcome = iota
 	Succeeded
 	Failed
 	Stopped
@@ -147,12 +147,12 @@
 )
 
 // String returns the name of the outcome.
-func (h How) String() string {
+func (h Outcome) String() string {
 	return [...]string{"other", "succeeded", "failed", "stopped", "lapsed", "broken", "alone"}[h]
 }
 
 // RunStatus describes a run that is active on a worker.
-type Row struct {
+type RunStatus struct {
 	Task    string
 	Run     int64
 	Saved   string
@@ -163,19 +163,19 @@
 }
 
 // EndedRun is a run that has ended. Seq starts at 1 in each life and increases by one with each run that ends.
-type End struct {
-	N     int64
-	Task  string
-	Run   int64
-	How   How
-	Saved string
+type EndedRun struct {
+	Seq     int64
+	Task    string
+	Run     int64
+	Outcome Outcome
+	Saved   string
 }
 
 // Report is a worker's answer to a Hold.
 type Report struct {
 	Answer
-	Running []Row
-	Ended   []End
+	Running []RunStatus
+	Ended   []EndedRun
 }
 
 // Calls holds the functions that send orders to workers. A platform adapter or a test sets them.
@@ -192,6 +192,6 @@
 	// ConnectionsScarce reports whether the process is near its connection limit, so that workers without runs
 	// should be polled rarely. CloseIdle closes the connections to such a worker until its next poll. A nil
 	// ConnectionsScarce means that connections are never scarce.
-	Crowded func() bool
-	Rest    func(w *Worker)
+	ConnectionsScarce func() bool
+	CloseIdle         func(w *Worker)
 }
--- a/work/lease.go
+++ b/work/lease.go
@@ -9,7 +9,7 @@
 const minClockRate = 0.98
 
 // MaxLocal returns the longest time, by the local clock, that a lease of duration d by a worker's clock can last.
-func Longest(d time.Duration) time.Duration { return time.Duration(float64(d) / minClockRate) }
+func MaxLocal(d time.Duration) time.Duration { return time.Duration(float64(d) / minClockRate) }
 
 // Lease tracks the clock of one life of a worker and an upper bound on the end of its leases. In the zero value both
 // are unknown.
@@ -25,7 +25,7 @@
 
 // Observe records a reading of the worker's clock that has just arrived. Readings that are older than the latest one
 // are ignored.
-func (l *Lease) Read(c Clock, now time.Time) {
+func (l *Lease) Observe(c Clock, now time.Time) {
 	if c <= 0 || c < l.clock {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // ClockKnown reports whether the clock has been read at least once.
-func (l *Lease) Known() bool { return l.clock > 0 }
+func (l *Lease) ClockKnown() bool { return l.clock > 0 }
 
 // Deadline returns a time on the worker's clock that is at most d ahead of it, or 0 if the clock is unknown. The
 // time since the last reading is converted at the slowest clock rate, so that an old reading never makes a lease
@@ -52,11 +52,11 @@
 	if d == 0 {
 		return
 	}
-	l.Bound(l.read.Add(Longest(time.Duration(d-l.clock) * time.Millisecond)))
+	l.ExtendTo(l.read.Add(MaxLocal(time.Duration(d-l.clock) * time.Millisecond)))
 }
 
 // ExtendTo records that a lease, possibly granted by another leader, may last until the given local time.
-func (l *Lease) Bound(until time.Time) {
+func (l *Lease) ExtendTo(until time.Time) {
 	if until.After(l.until) {
 		l.until = until
 	}
