--- a/lead/lead_test.go
+++ b/lead/elector_test.go
@@ -18,32 +18,34 @@
 	"rackstep.dev/feed"
 )
 
-// topic is a keyed topic in memory, whose calls can be made to fail.
-type topic struct {
-	mu      sync.Mutex
-	records []feed.KeyedRecord
-	epoch   int64
-	grown   chan struct{}
-	// fails says whether the entry's calls fail now.
-	fails map[string]bool
+// memoryTopic is a keyed topic in memory whose calls can be made to fail.
+type memoryTopic struct {
+	mu       sync.Mutex
+	records  []feed.KeyedRecord
+	epoch    int64
+	appended chan struct{}
+	// failingEntries holds the entries whose calls fail now.
+	failingEntries map[string]bool
 }
 
-func newTopic() *topic { return &topic{grown: make(chan struct{}), fails: make(map[string]bool)} }
+func newTopic() *memoryTopic {
+	return &memoryTopic{appended: make(chan struct{}), failingEntries: make(map[string]bool)}
+}
 
-func (t *topic) failing(entry string) bool {
+func (t *memoryTopic) failing(entry string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fails[entry]
+	return t.failingEntries[entry]
 }
 
-func (t *topic) setFails(entry string, fails bool) {
+func (t *memoryTopic) setFailing(entry string, fails bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fails[entry] = fails
+	t.failingEntries[entry] = fails
 }
 
-// of returns the topic as one entry sees it; a failing call hangs until its context ends.
-func (t *topic) of(entry string) feed.Topic {
+// forEntry returns the topic as seen by one entry. A failing call hangs until its context ends.
+func (t *memoryTopic) forEntry(entry string) feed.Topic {
 	hang := func(ctx context.Context) error {
 		<-ctx.Done()
 		return feed.ErrUncertain
@@ -70,7 +72,7 @@
 	}
 }
 
-func (t *topic) append(b feed.Batch) (int64, error) {
+func (t *memoryTopic) append(b feed.Batch) (int64, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -81,25 +83,25 @@
 	}
 	t.epoch = b.Epoch
 	t.records = append(t.records, b.Records...)
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.appended)
+	t.appended = make(chan struct{})
 	return int64(len(t.records)), nil
 }
 
-func (t *topic) newest() feed.KeyedPage {
+func (t *memoryTopic) newest() feed.KeyedPage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := len(t.records)
 	return feed.KeyedPage{Records: t.records[max(n-1, 0):], Next: int64(n)}
 }
 
-func (t *topic) read(ctx context.Context, from int64, wait time.Duration) (feed.KeyedPage, error) {
+func (t *memoryTopic) read(ctx context.Context, from int64, wait time.Duration) (feed.KeyedPage, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
 		page := feed.KeyedPage{Records: t.records[from:], Next: int64(len(t.records))}
-		grown := t.grown
+		grown := t.appended
 		t.mu.Unlock()
 		if len(page.Records) > 0 {
 			return page, nil
@@ -114,27 +116,27 @@
 	}
 }
 
-// group is some electors on one topic, and who leads.
-type group struct {
-	topic    *topic
+// electorGroup runs electors on one topic and records which of them lead.
+type electorGroup struct {
+	topic    *memoryTopic
 	electors []*Elector
 	mu       sync.Mutex
 	leading  map[string]Term
 	terms    []Term
 }
 
-func newGroup(t *testing.T, n int) *group {
-	return newGroupOf(t, n, (*topic).of)
+func newGroup(t *testing.T, n int) *electorGroup {
+	return newGroupWith(t, n, (*memoryTopic).forEntry)
 }
 
-// newGroupOf returns a running group whose entries see the topic each in its way.
-func newGroupOf(t *testing.T, n int, of func(t *topic, entry string) feed.Topic) *group {
-	g := &group{topic: newTopic(), leading: make(map[string]Term)}
+// newGroupWith returns a running group of n electors, each of which uses the topic that view returns for its entry.
+func newGroupWith(t *testing.T, n int, view func(t *memoryTopic, entry string) feed.Topic) *electorGroup {
+	g := &electorGroup{topic: newTopic(), leading: make(map[string]Term)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	for i := range n {
 		name := fmt.Sprint("e", i)
-		e := &Elector{Entry: name, Address: name, Boot: "1", Topic: of(g.topic, name), Weight: 1, Events: &event.Ring{}}
+		e := &Elector{Entry: name, Address: name, Boot: "1", Topic: view(g.topic, name), Weight: 1, Events: &event.Ring{}}
 		e.Serve = func(ctx context.Context, term Term) {
 			g.mu.Lock()
 			g.leading[name] = term
@@ -150,12 +152,12 @@
 	for _, e := range g.electors {
 		done.Go(func() { _ = e.Run(ctx) })
 	}
-	t.Cleanup(func() { cancel(); done.Wait(); time.Sleep(5 * time.Second) }) // calls on their way end
+	t.Cleanup(func() { cancel(); done.Wait(); time.Sleep(5 * time.Second) }) // lets calls in flight end
 	return g
 }
 
-// leader returns the only one that leads.
-func (g *group) leader(c *quicktest.C) *Elector {
+// leader returns the elector that leads; it fails the test unless there is exactly one.
+func (g *electorGroup) leader(c *quicktest.C) *Elector {
 	c.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,12 +170,13 @@
 	return nil
 }
 
-func bubble(t *testing.T, f func(t *testing.T, c *quicktest.C)) {
+func inBubble(t *testing.T, f func(t *testing.T, c *quicktest.C)) {
 	synctest.Test(t, func(t *testing.T) { f(t, quicktest.New(t)) })
 }
 
+// TestOneLeadsAndGoesOn checks that an undisturbed leader keeps its term.
 func TestOneLeadsAndGoesOn(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 5)
 		time.Sleep(time.Second)
 		first := g.leader(c)
@@ -186,7 +189,7 @@
 }
 
 func TestALeaderThatResignsIsFollowedAtOnce(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 3)
 		time.Sleep(time.Second)
 		g.leader(c).Resign()
@@ -199,11 +202,11 @@
 }
 
 func TestALeaderThatHandsOverIsFollowedAtOnce(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 3)
 		time.Sleep(time.Second)
 		old := g.leader(c)
-		old.HandOver(1) // another term's
+		old.HandOver(1) // the fence of another term
 		c.Assert(g.leader(c), quicktest.Equals, old)
 		old.HandOver(g.terms[0].Fence)
 		time.Sleep(400 * time.Millisecond)
@@ -215,95 +218,100 @@
 		time.Sleep(400 * time.Millisecond)
 		c.Assert(g.leader(c) == next, quicktest.IsFalse)
 	})
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 1)
 		time.Sleep(time.Second)
 		g.leader(c).HandOver(g.terms[0].Fence)
-		time.Sleep(handOverPause + renewEvery)
-		c.Assert(g.leader(c), quicktest.Equals, g.electors[0], quicktest.Commentf("there is no other"))
+		time.Sleep(handOverPause + renewInterval)
+		c.Assert(g.leader(c), quicktest.Equals, g.electors[0], quicktest.Commentf("no other entry is there to take over"))
 	})
 }
 
-// TestALeaderWithoutTheStoreIsFollowed also checks that two never count as confirmed at a time.
+// TestALeaderWithoutTheStoreIsFollowed cuts the leader off from the store. Another entry must take over within the election
+// timeout, and the old leader must not count as confirmed once the next term has begun.
 func TestALeaderWithoutTheStoreIsFollowed(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 3)
 		time.Sleep(time.Second)
 		old := g.leader(c)
-		g.topic.setFails(old.Entry, true)
+		g.topic.setFailing(old.Entry, true)
 		began := time.Now()
 		for len(g.terms) < 2 {
 			time.Sleep(5 * time.Millisecond)
 		}
-		c.Assert(old.Confirmed(), quicktest.IsFalse, quicktest.Commentf("both are confirmed"))
-		c.Assert(time.Since(began) < missedAfter+spread+renewEvery, quicktest.IsTrue, quicktest.Commentf("after %v", time.Since(began)))
+		c.Assert(old.Confirmed(), quicktest.IsFalse, quicktest.Commentf("the old leader still counts as confirmed"))
+		c.Assert(time.Since(began) < electionTimeout+maxJitter+renewInterval, quicktest.IsTrue, quicktest.Commentf("after %v", time.Since(began)))
 		c.Assert(g.terms[1].Clean, quicktest.IsFalse)
-		g.topic.setFails(old.Entry, false)
+		g.topic.setFailing(old.Entry, false)
 		time.Sleep(2 * time.Second)
 		c.Assert(g.leader(c) == old, quicktest.IsFalse)
 	})
 }
 
 func TestSilenceLastsWhileTheStoreDoesNotAnswer(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 2)
 		time.Sleep(3 * time.Second)
 		e := g.electors[0]
 		c.Assert(e.Silence(), quicktest.Equals, time.Duration(0))
-		g.topic.setFails(e.Entry, true)
+		g.topic.setFailing(e.Entry, true)
 		time.Sleep(4 * time.Second)
 		c.Assert(e.Silence() > 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", e.Silence()))
-		g.topic.setFails(e.Entry, false)
-		time.Sleep(3 * time.Second) // the call on its way hangs to its end
+		g.topic.setFailing(e.Entry, false)
+		time.Sleep(3 * time.Second) // the call in flight hangs until its timeout
 		c.Assert(e.Silence(), quicktest.Equals, time.Duration(0))
 	})
 }
 
+// TestNobodyIsElectedWithoutTheStore has the store answer nobody for a while. The leader must go on and keep its term afterwards.
 func TestNobodyIsElectedWithoutTheStore(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 3)
 		time.Sleep(time.Second)
 		old := g.leader(c)
 		for _, e := range g.electors {
-			g.topic.setFails(e.Entry, true)
+			g.topic.setFailing(e.Entry, true)
 		}
 		time.Sleep(20 * time.Second)
 		c.Assert(g.leader(c), quicktest.Equals, old)
 		for _, e := range g.electors {
-			g.topic.setFails(e.Entry, false)
+			g.topic.setFailing(e.Entry, false)
 		}
 		time.Sleep(3 * time.Second)
-		c.Assert(g.leader(c), quicktest.Equals, old, quicktest.Commentf("the leader has renewed before anybody missed it"))
+		c.Assert(g.leader(c), quicktest.Equals, old, quicktest.Commentf("the leader renews before any candidate times out"))
 	})
 }
 
+// TestTheNextLeaderKnowsOfALooseOne checks that a leader's notice of unpersisted orders reaches its successor.
 func TestTheNextLeaderKnowsOfALooseOne(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 2)
 		time.Sleep(6 * time.Second)
 		old := g.leader(c)
 		old.SetLoose(true)
 		time.Sleep(50 * time.Millisecond)
 		c.Assert(old.LooseKept(), quicktest.IsTrue)
-		g.topic.setFails(old.Entry, true)
+		g.topic.setFailing(old.Entry, true)
 		time.Sleep(3 * time.Second)
 		c.Assert(g.terms[1].Coarse, quicktest.IsTrue)
 	})
 }
 
 func TestWithoutAnOutageNothingIsCoarse(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 3)
 		time.Sleep(10 * time.Second)
-		g.topic.setFails(g.leader(c).Entry, true)
+		g.topic.setFailing(g.leader(c).Entry, true)
 		time.Sleep(3 * time.Second)
 		c.Assert(g.terms, quicktest.HasLen, 2)
 		c.Assert(g.terms[1].Coarse, quicktest.IsFalse)
 	})
 }
 
+// TestARestartedLeaderTakesItsLeadBackAtOnce restarts the only leader. It must not wait for the election timeout of its own
+// earlier boot, and must know that no earlier leader is active.
 func TestARestartedLeaderTakesItsLeadBackAtOnce(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		tp := newTopic()
 		terms := make(chan Term, 2)
 		run := func(boot string) (*Elector, func()) {
@@ -313,7 +321,7 @@
 				terms <- t
 				<-ctx.Done()
 			}
-			e := &Elector{Entry: "e", Boot: boot, Weight: 1, Topic: tp.of("e"), Events: &event.Ring{}, Serve: serve}
+			e := &Elector{Entry: "e", Boot: boot, Weight: 1, Topic: tp.forEntry("e"), Events: &event.Ring{}, Serve: serve}
 			go func() { defer close(done); _ = e.Run(ctx) }()
 			return e, func() { cancel(); <-done }
 		}
@@ -323,7 +331,7 @@
 		e, stop := run("2")
 		time.Sleep(100 * time.Millisecond)
 		c.Assert(e.Confirmed(), quicktest.IsTrue)
-		c.Assert((<-terms).Clean, quicktest.IsTrue) // nobody led before
+		c.Assert((<-terms).Clean, quicktest.IsTrue) // there was no earlier leader
 		again := <-terms
 		c.Assert(again.Clean, quicktest.IsFalse)
 		c.Assert(again.Alone, quicktest.IsTrue)
--- a/lead/outage.go
+++ b/lead/outage.go
@@ -4,57 +4,58 @@
 
 import "time"
 
-// longSilence is how long the store must not have answered to count as an outage: under the time after which a leader
-// without the store orders what it can't keep.
-const longSilence = time.Second
+// outageThreshold is how long the store must have been unanswering for it to count as an outage. It is below the time after
+// which a leader without the store sends orders that it cannot persist.
+const outageThreshold = time.Second
 
-// outageMemory is how long an outage is remembered: a leader that has renewed since has kept what it ordered meanwhile, or
-// says in its record that it has not.
-const outageMemory = 5 * time.Second
+// outageRetention is how long an outage is remembered. A leader that has renewed since then has either persisted what it
+// ordered during the outage or says in its record that it has not.
+const outageRetention = 5 * time.Second
 
-// sawOutage says whether the store lately did not answer this entry for long, or the entry has only begun.
-func (e *Elector) sawOutage() bool {
-	return e.Clock.Since(e.began) < outageMemory || e.Clock.Since(e.outage) < outageMemory
+// recentOutage reports whether this entry has recently seen an outage of the store, or started too recently to know.
+func (e *Elector) recentOutage() bool {
+	return e.Clock.Since(e.startedAt) < outageRetention || e.Clock.Since(e.lastOutage) < outageRetention
 }
 
-// Silence returns for how long the store has not answered this entry, 0 while it does.
+// UnansweredFor returns for how long the store has not answered this entry, 0 while it does.
 func (e *Elector) Silence() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.failing.IsZero() {
+	if e.failingSince.IsZero() {
 		return 0
 	}
-	return e.Clock.Since(e.failing)
+	return e.Clock.Since(e.failingSince)
 }
 
-// SetLoose publishes whether the leader may order what it can't keep.
-func (e *Elector) SetLoose(loose bool) {
+// SetUnpersisted publishes whether the leader may send orders that it cannot persist.
+func (e *Elector) SetLoose(unpersisted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.loose == loose {
+	if e.unpersisted == unpersisted {
 		return
 	}
-	e.loose = loose
-	if !loose {
-		e.looseKept = false
+	e.unpersisted = unpersisted
+	if !unpersisted {
+		e.unpersistedPublished = false
 	}
 	select {
-	case e.hurry <- struct{}{}:
+	case e.renewNow <- struct{}{}:
 	default:
 	}
 }
 
-// SetEarlier publishes whether a leader before this one may still give orders, and whether one may have ordered what it could
-// not keep.
-func (e *Elector) SetEarlier(open, coarse bool) {
+// SetPredecessors publishes whether an earlier leader may still send orders, and whether an earlier leader may have sent
+// orders that it could not persist.
+func (e *Elector) SetEarlier(active, unpersisted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.open, e.coarse = open, coarse
+	e.predecessorsActive, e.predecessorsUnpersisted = active, unpersisted
 }
 
-// LooseKept says whether the next leader will know that this one may have ordered what it could not keep.
+// UnpersistedPublished reports whether the store has the information that this leader may send orders that it cannot persist,
+// so that the next leader will know.
 func (e *Elector) LooseKept() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.looseKept
+	return e.unpersistedPublished
 }
--- a/lead/rest_test.go
+++ b/lead/read_pause_test.go
@@ -16,11 +16,11 @@
 	"rackstep.dev/feed"
 )
 
-// TestSmallEntriesReadLessAndStillTakeOver has a large leader among small entries: those that would leave the lead to larger ones need not read each
-// renewal at once. On 586 entries such reads were most of all calls to the store. When the large one is gone one of them leads in time, and one that is told
-// that the leader does not answer looks at once.
+// TestSmallEntriesReadLessAndStillTakeOver runs a large leader among small entries. Entries that defer to larger ones need not
+// read each renewal at once: with 586 entries such reads were most of all calls to the store. When the large entries are gone,
+// a small one must still take over in time, and ReadNow must never block.
 func TestSmallEntriesReadLessAndStillTakeOver(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		tp := newTopic()
 		var mu sync.Mutex
 		reads := make(map[string]int)
@@ -29,15 +29,15 @@
 		defer cancel()
 		electors := make(map[string]*Elector)
 		start := func(ctx context.Context, name string, weight float64) {
-			of := tp.of(name)
-			read := of.Read
-			of.Read = func(ctx context.Context, from int64, wait time.Duration) (feed.KeyedPage, error) {
+			store := tp.forEntry(name)
+			read := store.Read
+			store.Read = func(ctx context.Context, from int64, wait time.Duration) (feed.KeyedPage, error) {
 				mu.Lock()
 				reads[name]++
 				mu.Unlock()
 				return read(ctx, from, wait)
 			}
-			e := &Elector{Entry: name, Address: name, Boot: "1", Topic: of, Weight: weight, Events: new(event.Ring), Serve: func(ctx context.Context, _ Term) { led <- name; <-ctx.Done() }}
+			e := &Elector{Entry: name, Address: name, Boot: "1", Topic: store, Weight: weight, Events: new(event.Ring), Serve: func(ctx context.Context, _ Term) { led <- name; <-ctx.Done() }}
 			electors[name] = e
 			go func() { _ = e.Run(ctx) }()
 		}
@@ -55,20 +55,20 @@
 		time.Sleep(35 * time.Second)
 		mu.Lock()
 		other := map[string]string{"large": "same", "same": "large"}[first]
-		c.Check(reads[other] >= 95, quicktest.IsTrue, quicktest.Commentf("one as large follows each renewal: %v", reads))
-		c.Check(reads["small"] <= 55, quicktest.IsTrue, quicktest.Commentf("%v", reads))
+		c.Check(reads[other] >= 95, quicktest.IsTrue, quicktest.Commentf("an entry as large as the leader reads each renewal: %v", reads))
+		c.Check(reads["small"] <= 55, quicktest.IsTrue, quicktest.Commentf("small entries read too often: %v", reads))
 		mu.Unlock()
 
 		kill()
-		tp.setFails("large", true)
-		tp.setFails("same", true)
+		tp.setFailing("large", true)
+		tp.setFailing("same", true)
 		at := time.Now()
 		next := <-led
 		c.Check(next == "small" || next == "tiny", quicktest.IsTrue, quicktest.Commentf("%s leads", next))
 		took := time.Since(at)
-		c.Check(took < missedAfter+restFor+sizeDelay+2*spread+readWait, quicktest.IsTrue, quicktest.Commentf("after %v", took))
+		c.Check(took < electionTimeout+followerReadPause+weightDelay+2*maxJitter+maxReadWait, quicktest.IsTrue, quicktest.Commentf("after %v", took))
 		for range 3 {
-			electors["tiny"].Look() // never waits
+			electors["tiny"].Look() // must not block
 		}
 	})
 }
--- a/lead/record.go
+++ b/lead/record.go
@@ -4,36 +4,40 @@
 
 import "time"
 
-// Record is what the topic says of the leader.
+// Record is the leader's record in the topic.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
-	// Entry and Address name the leader and its address for peers.
+	// Entry is the leader's name, Address its address for peers.
 	Entry, Address string
-	// Boot tells two lives of the entry apart.
+	// Boot distinguishes runs of the entry's process.
 	Boot string
 	Term int64
 	// Fence is the term's fencing token.
 	Fence int64
-	// Released says that the leader has given up the lead.
+	// Released is set when the leader has given up the term.
 	Released bool
-	// Loose says that the leader may have ordered what it could not keep.
+	// Unpersisted is set when the leader may have sent orders that it could not persist.
 	Loose bool
-	// Open says that a leader before this one may still give orders; Coarse that one may have ordered what it could not keep.
+	// PredecessorsActive is set when an earlier leader may still send orders, PredecessorsUnpersisted when an earlier leader may
+	// have sent orders that it could not persist.
 	Open, Coarse bool
-	// Weight is the largest of the leaders' so far.
+	// Weight is the largest weight of any leader so far.
 	Weight float64
 }
 
-// Term is a lead that was taken.
+// Term is a term that this entry has won.
 type Term struct {
 	Number, Fence int64
-	// Coarse says that a leader before may have ordered what is not kept; Clean that the last one gave the lead up itself;
-	// Alone that all have surely stopped: the last one gave the lead up, or was an earlier life of this very process, and
-	// had told that those before it had stopped.
+	// PredecessorsUnpersisted is set when an earlier leader may have sent orders that are not persisted.
+	// CleanHandover is set when there was no earlier leader, or the last one released its term and no leader before it was
+	// active any more.
+	// Exclusive is set when no earlier leader can be active any more: the handover was clean, or the last leader was an
+	// earlier boot of this entry and had published that its own predecessors had stopped.
 	Coarse, Clean, Alone bool
-	// Renewed is when this entry read the newest renewal of the leader before; the zero time when there was none.
+	// PredecessorRenewed is when this entry read the newest renewal of the previous leader, or the latest time at which that
+	// renewal can have arrived; the zero time when there was none.
 	Renewed time.Time
 }
 
-// Raised returns the next fencing token above one of the term's, and false if that would be another term's.
+// NextToken returns the fencing token after one of this term, and false if that token would belong to the next term.
 func (t Term) Raised(token int64) (int64, bool) { return token + 1, (token+1)>>fenceBits == t.Number }
--- a/lead/slow_test.go
+++ b/lead/slow_store_test.go
@@ -15,17 +15,17 @@
 	"rackstep.dev/feed"
 )
 
-// delayed returns the topic as an entry sees it whose calls take a while on their way there and back; a call that is given up
-// on its way is carried out all the same, and a batch that was taken gets its first answer again.
-func delayed(t *topic, entry string, way func() time.Duration) feed.Topic {
-	taken := make(map[feed.Writer]int64)
-	late := func(ctx context.Context, exec func()) error {
+// delayedTopic returns the topic as seen by an entry whose calls are delayed in each direction. A call that is given up in
+// flight is still carried out, and a repeated batch gets the answer to the first one.
+func delayedTopic(t *memoryTopic, entry string, delay func() time.Duration) feed.Topic {
+	accepted := make(map[feed.Writer]int64)
+	call := func(ctx context.Context, exec func()) error {
 		if t.failing(entry) {
 			<-ctx.Done()
 			return feed.ErrUncertain
 		}
 		done := make(chan struct{})
-		there, back := way(), way()
+		there, back := delay(), delay()
 		go func() {
 			time.Sleep(there)
 			exec()
@@ -43,55 +43,56 @@
 		Append: func(ctx context.Context, b feed.Batch) (int64, error) {
 			var end int64
 			var err error
-			lost := late(ctx, func() {
+			unanswered := call(ctx, func() {
 				t.mu.Lock()
-				first, again := taken[b.Writer]
+				first, repeated := accepted[b.Writer]
 				t.mu.Unlock()
-				if end, err = first, nil; again {
+				if end, err = first, nil; repeated {
 					return
 				}
 				if end, err = t.append(b); err == nil {
 					t.mu.Lock()
-					taken[b.Writer] = end
+					accepted[b.Writer] = end
 					t.mu.Unlock()
 				}
 			})
-			if lost != nil {
-				return 0, lost
+			if unanswered != nil {
+				return 0, unanswered
 			}
 			return end, err
 		},
 		Read: func(ctx context.Context, from int64, wait time.Duration) (feed.KeyedPage, error) {
 			var page feed.KeyedPage
 			var err error
-			if lost := late(ctx, func() { page, err = t.read(context.Background(), from, wait) }); lost != nil {
-				return page, lost
+			if unanswered := call(ctx, func() { page, err = t.read(context.Background(), from, wait) }); unanswered != nil {
+				return page, unanswered
 			}
 			return page, err
 		},
 		Newest: func(ctx context.Context) (feed.KeyedPage, error) {
 			var page feed.KeyedPage
-			if lost := late(ctx, func() { page = t.newest() }); lost != nil {
-				return page, lost
+			if unanswered := call(ctx, func() { page = t.newest() }); unanswered != nil {
+				return page, unanswered
 			}
 			return page, nil
 		},
 	}
 }
 
-// TestASlowStoreEndsNoLead has every call take a second, then as long as it usually does.
+// TestASlowStoreEndsNoLead slows every call to the store down to up to a second and then back to normal. The leader must keep its
+// term throughout.
 func TestASlowStoreEndsNoLead(t *testing.T) {
 	for _, slow := range [...]time.Duration{100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond} {
-		bubble(t, func(t *testing.T, c *quicktest.C) {
+		inBubble(t, func(t *testing.T, c *quicktest.C) {
 			way := 2 * time.Millisecond
-			g := newGroupOf(t, 5, func(tp *topic, entry string) feed.Topic {
-				return delayed(tp, entry, func() time.Duration { return way })
+			g := newGroupWith(t, 5, func(tp *memoryTopic, entry string) feed.Topic {
+				return delayedTopic(tp, entry, func() time.Duration { return way })
 			})
 			time.Sleep(7 * time.Second)
 			old := g.leader(c)
 			way = slow
 			time.Sleep(30 * time.Second)
-			c.Assert(g.terms, quicktest.HasLen, 1, quicktest.Commentf("with %v each way", slow))
+			c.Assert(g.terms, quicktest.HasLen, 1, quicktest.Commentf("with a delay of %v each way", slow))
 			way = 2 * time.Millisecond
 			time.Sleep(5 * time.Second)
 			c.Assert(g.leader(c), quicktest.Equals, old)
@@ -100,20 +101,20 @@
 	}
 }
 
-// TestALeaderShortOfProcessorKeepsItsLead has the leader's calls wait for their turn: full speed until its share is spent, then
-// nothing for the rest of a tenth of a second, several times a call.
+// TestALeaderShortOfProcessorKeepsItsLead throttles the leader's processor time in periods of 0.1 s, as a cgroup quota does, so
+// that each of its calls is held up several times. It must keep its term, and lose it in time once its calls fail.
 func TestALeaderShortOfProcessorKeepsItsLead(t *testing.T) {
 	for seed := range uint64(10) {
-		bubble(t, func(t *testing.T, c *quicktest.C) {
+		inBubble(t, func(t *testing.T, c *quicktest.C) {
 			r := rand.New(rand.NewPCG(seed, 3))
 			busy := ""
-			g := newGroupOf(t, 5, func(tp *topic, entry string) feed.Topic {
-				return delayed(tp, entry, func() time.Duration {
+			g := newGroupWith(t, 5, func(tp *memoryTopic, entry string) feed.Topic {
+				return delayedTopic(tp, entry, func() time.Duration {
 					if entry != busy {
 						return 2 * time.Millisecond
 					}
 					wait := 2 * time.Millisecond
-					for range 4 { // turns of the processor that a call needs each way
+					for range 4 { // scheduling periods that a call needs each way
 						wait += time.Duration(r.IntN(100)) * time.Millisecond
 					}
 					return wait
@@ -125,7 +126,7 @@
 			time.Sleep(30 * time.Second)
 			c.Assert(g.terms, quicktest.HasLen, 1, quicktest.Commentf("seed %d", seed))
 			c.Assert(g.leader(c), quicktest.Equals, old)
-			g.topic.setFails(old.Entry, true)
+			g.topic.setFailing(old.Entry, true)
 			began := time.Now()
 			for len(g.terms) < 2 && time.Since(began) < 10*time.Second {
 				time.Sleep(5 * time.Millisecond)
@@ -136,12 +137,12 @@
 	}
 }
 
-// TestNoLeaderIsConfirmedOnceTheNextHasItsTerm plays calls that take any time, some of which fail. What a new leader takes for
-// not read by an earlier one rests on it.
+// TestNoLeaderIsConfirmedOnceTheNextHasItsTerm runs calls with random delays, some of which fail. No earlier leader may count as
+// confirmed when a new term begins: a new leader relies on this to conclude what an earlier one cannot have read.
 func TestNoLeaderIsConfirmedOnceTheNextHasItsTerm(t *testing.T) {
 	taken := 0
 	for seed := range uint64(30) {
-		bubble(t, func(t *testing.T, c *quicktest.C) {
+		inBubble(t, func(t *testing.T, c *quicktest.C) {
 			r := rand.New(rand.NewPCG(seed, 9))
 			way := func() time.Duration {
 				if r.IntN(4) == 0 {
@@ -149,7 +150,7 @@
 				}
 				return time.Duration(r.IntN(60)) * time.Millisecond
 			}
-			g := newGroupOf(t, 4, func(tp *topic, entry string) feed.Topic { return delayed(tp, entry, way) })
+			g := newGroupWith(t, 4, func(tp *memoryTopic, entry string) feed.Topic { return delayedTopic(tp, entry, way) })
 			for _, e := range g.electors {
 				serve := e.Serve
 				e.Serve = func(ctx context.Context, term Term) {
@@ -162,7 +163,7 @@
 			}
 			for range 40 {
 				e := g.electors[r.IntN(len(g.electors))]
-				g.topic.setFails(e.Entry, r.IntN(2) == 0)
+				g.topic.setFailing(e.Entry, r.IntN(2) == 0)
 				time.Sleep(time.Duration(r.IntN(3000)) * time.Millisecond)
 			}
 		})
@@ -170,14 +171,14 @@
 	quicktest.Assert(t, taken > 90, quicktest.IsTrue, quicktest.Commentf("%d terms", taken))
 }
 
-// TestALeaderWhoseWayFallsSilentTakesAnother has the leader's direct way hang; a call that has failed there lets the next ones take
-// another way, as the adapter does.
+// TestALeaderWhoseWayFallsSilentTakesAnother has the leader's direct route to the store hang. A call that fails there makes the
+// following calls take another route, as the store adapter does, and the leader must keep its term.
 func TestALeaderWhoseWayFallsSilentTakesAnother(t *testing.T) {
-	bubble(t, func(t *testing.T, c *quicktest.C) {
+	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		silent := ""
 		known := make(map[string]bool)
-		g := newGroupOf(t, 5, func(tp *topic, entry string) feed.Topic {
-			way := delayed(tp, entry, func() time.Duration { return 2 * time.Millisecond })
+		g := newGroupWith(t, 5, func(tp *memoryTopic, entry string) feed.Topic {
+			way := delayedTopic(tp, entry, func() time.Duration { return 2 * time.Millisecond })
 			plain := way.Append
 			way.Append = func(ctx context.Context, b feed.Batch) (int64, error) {
 				if entry == silent && !known[entry] {
--- a/lead/asleep_test.go
+++ b/lead/suspend_test.go
@@ -14,14 +14,16 @@
 	"rackstep.dev/internal/clock"
 )
 
+// TestALeadIsNotConfirmedAfterASuspension suspends the machine for longer than ConfirmedFor. Another entry may have taken
+// leadership meanwhile, so the renewal before the suspension must not count as a confirmation.
 func TestALeadIsNotConfirmedAfterASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		base, slept := time.Now(), time.Duration(0)
-		e := &Elector{Entry: "a", Clock: &clock.Clock{Boot: func() time.Duration { return time.Since(base) + slept }}}
-		e.confirmed = e.Clock.Sure()
+		base, suspended := time.Now(), time.Duration(0)
+		e := &Elector{Entry: "a", Clock: &clock.Clock{Boot: func() time.Duration { return time.Since(base) + suspended }}}
+		e.confirmedAt = e.Clock.Sure()
 		c.Assert(e.Confirmed(), quicktest.IsTrue)
-		slept = 3 * time.Second
+		suspended = 3 * time.Second
 		c.Assert(e.Confirmed(), quicktest.IsFalse)
 	})
 }
