--- a/keep/dirty_rows.go
+++ b/keep/dirty_rows.go
@@ -2,46 +2,46 @@
 
 package keep
 
-// Rows are the keys of rows with changes that are not kept, in the order in which they changed first, so that none is passed over while others
-// keep changing. The zero value is empty.
+// DirtyRows is a queue of rows with changes that are not stored yet. It is ordered by each row's first change, so that no row is
+// starved while others keep changing. The zero value is empty.
 type Rows[R any] struct {
 	rows  map[string]R
 	order []string
 }
 
-// Add notes that a row has changed.
-func (x *Rows[R]) Add(key string, row R) {
-	if x.rows == nil {
-		x.rows = make(map[string]R)
+// Add records that a row has changed. A row that is already queued keeps its place.
+func (d *Rows[R]) Add(key string, row R) {
+	if d.rows == nil {
+		d.rows = make(map[string]R)
 	}
-	if _, ok := x.rows[key]; !ok {
-		x.order = append(x.order, key)
+	if _, ok := d.rows[key]; !ok {
+		d.order = append(d.order, key)
 	}
-	x.rows[key] = row
+	d.rows[key] = row
 }
 
-// Drop takes a row out; its place in the order goes when its turn comes.
-func (x *Rows[R]) Drop(key string) { delete(x.rows, key) }
+// Remove removes a row. Its key stays in the order until Pop reaches it.
+func (d *Rows[R]) Drop(key string) { delete(d.rows, key) }
 
-// Has says whether a row has changes that are not kept.
-func (x *Rows[R]) Has(key string) bool {
-	_, ok := x.rows[key]
+// Has reports whether a row has changes that are not stored yet.
+func (d *Rows[R]) Has(key string) bool {
+	_, ok := d.rows[key]
 	return ok
 }
 
-// Empty says whether all changes are kept.
-func (x *Rows[R]) Empty() bool { return len(x.rows) == 0 }
+// Empty reports whether all changes are stored.
+func (d *Rows[R]) Empty() bool { return len(d.rows) == 0 }
 
-// Next takes out the row that changed first; ok is false when there is none.
-func (x *Rows[R]) Next() (key string, row R, ok bool) {
-	for len(x.order) > 0 {
-		key = x.order[0]
-		x.order = x.order[1:]
-		if row, ok = x.rows[key]; ok {
-			delete(x.rows, key)
+// Pop removes and returns the row that changed first; ok is false when there is none.
+func (d *Rows[R]) Next() (key string, row R, ok bool) {
+	for len(d.order) > 0 {
+		key = d.order[0]
+		d.order = d.order[1:]
+		if row, ok = d.rows[key]; ok {
+			delete(d.rows, key)
 			return key, row, true
 		}
 	}
-	x.order = nil
+	d.order = nil
 	return "", row, false
 }
--- a/keep/doc.go
+++ b/keep/doc.go
@@ -1,22 +1,21 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package keep writes what must last of a leader's tables to a keyed topic.
+Package keep persists a leader's tables to a keyed topic.
 
-A leader makes a batch of records of what has changed, one batch at a time; a
-Writer appends it. Nothing whose size goes with the size of the fleet stands in
-one record: what is kept is rows, each under its key, written when it changes.
+The leader makes one batch of changed records at a time, and a Writer appends
+it. Each row is a record under its own key and is written when it changes, so
+that no record grows with the size of the fleet.
 
-What a store answers to an append comes in three kinds, and each has its own
-way on:
+The store's answers to an append fall into three classes:
 
-	not done, or nobody knows   the same call again, until it is answered
-	surely never                the record goes aside, alone; all others are kept
-	fenced                      another leader writes now: the term is over
+	not done, or unknown     the same call is repeated until it is answered
+	permanently refused      the record is set aside; all others are stored
+	fenced                   a later leader writes; the term is over
 
-A record is surely never taken when it is longer than the store allows, or when
-the store refuses it by itself. A batch that is refused is halved until the
-record at fault stands alone, so that one bad record costs what rests on it
-and nothing else.
+A record is permanently refused when it is longer than the store allows, or
+when the store refuses it on its own. A refused batch is halved until the
+record at fault stands alone, so that one bad record affects only what depends
+on it.
 */
 package keep
--- a/keep/writer.go
+++ b/keep/writer.go
@@ -11,91 +11,92 @@
 	"rackstep.dev/feed"
 )
 
-// Times of an append.
+// Timings of an append.
 const (
 	// callTimeout bounds one call to the store.
 	callTimeout = time.Second
-	// callPause is the pause after a call that was not answered.
-	callPause = 150 * time.Millisecond
+	// retryPause is the pause before an unanswered call is repeated.
+	retryPause = 150 * time.Millisecond
 )
 
-// Writer appends the batches of one leader's term; it is used by one goroutine at a time.
+// Writer appends the batches of one leader's term. It must not be used by several goroutines at once.
 type Writer struct {
-	// Call makes one append to the store, as feed.Topic has it.
+	// Call makes one append to the store; see feed.Topic.Append.
 	Call func(ctx context.Context, b feed.Batch) (int64, error)
-	// Name and Epoch fence the writers of earlier terms.
+	// Name and Epoch fence off the writers of earlier terms.
 	Name  string
 	Epoch int64
-	// RecordMost bounds the bytes of one record, its key included; none when 0.
+	// MaxRecordBytes bounds the size of one record, including its key; unbounded when 0.
 	RecordMost int
-	// Failing is called when the store first gives no answer to a batch, Again when it takes that batch after all.
+	// OnFailure is called when a call for a batch first fails, OnRecovery when the store accepts that batch later.
 	Failing func(err error)
 	Again   func()
 
 	sequence int64
 }
 
-// Aside is a record that the store surely never takes.
+// RejectedRecord is a record that the store will never accept.
 type Aside struct {
 	Key string
-	// Bytes is the size of the record, its key included.
+	// Bytes is the size of the record, including its key.
 	Bytes int
 	Err   error
 }
 
-// Error returns the problem and the remedy.
+// Error names the record, the reason and the remedy.
 func (a Aside) Error() string {
-	return fmt.Sprintf("record %q of %d bytes is not kept: %v; make what it holds smaller", a.Key, a.Bytes, a.Err)
+	return fmt.Sprintf("record %q of %d bytes was not stored: %v; reduce its content", a.Key, a.Bytes, a.Err)
 }
 
-// errTooLong says that a record was not sent.
-var errTooLong = errors.New("it is longer than the store takes")
+// errTooLong is the reason for a record that exceeds MaxRecordBytes and was not sent.
+var errTooLong = errors.New("it exceeds the store's limit for one record")
 
-// Append keeps the records and returns those that the store surely never takes; all others are kept then.
+// Append stores the records and returns those that the store will never accept; all others are stored when err is nil.
 //
-// It tries until the context ends, which is its error then; a *feed.FencedError or a *feed.SequenceError says that the term is over.
+// It retries until the context ends and then returns the context's error. A *feed.FencedError or a *feed.SequenceError means that
+// the term is over.
 func (w *Writer) Append(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
-	var aside []Aside
-	fit := make([]feed.KeyedRecord, 0, len(records))
+	var rejected []Aside
+	sendable := make([]feed.KeyedRecord, 0, len(records))
 	for _, r := range records {
-		if n := size(r); w.RecordMost > 0 && n > w.RecordMost {
-			aside = append(aside, Aside{Key: r.Key, Bytes: n, Err: errTooLong})
+		if n := recordSize(r); w.RecordMost > 0 && n > w.RecordMost {
+			rejected = append(rejected, Aside{Key: r.Key, Bytes: n, Err: errTooLong})
 			continue
 		}
-		fit = append(fit, r)
+		sendable = append(sendable, r)
 	}
-	if len(fit) == 0 {
-		return aside, ctx.Err()
+	if len(sendable) == 0 {
+		return rejected, ctx.Err()
 	}
-	refused, err := w.appendParts(ctx, fit)
-	return append(aside, refused...), err
+	refused, err := w.appendSplitting(ctx, sendable)
+	return append(rejected, refused...), err
 }
 
-// appendParts appends the records, in halves where the store refuses them together.
-func (w *Writer) appendParts(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
-	err := w.call(ctx, records)
+// appendSplitting appends the records and splits them into halves when the store refuses them together.
+func (w *Writer) appendSplitting(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
+	err := w.appendUntilAnswered(ctx, records)
 	var refused *feed.RefusedError
 	switch {
 	case !errors.As(err, &refused):
 		return nil, err
 	case len(records) == 1:
-		return []Aside{{Key: records[0].Key, Bytes: size(records[0]), Err: err}}, nil
+		return []Aside{{Key: records[0].Key, Bytes: recordSize(records[0]), Err: err}}, nil
 	}
 	half := len(records) / 2
-	first, err := w.appendParts(ctx, records[:half])
+	first, err := w.appendSplitting(ctx, records[:half])
 	if err != nil {
 		return first, err
 	}
-	second, err := w.appendParts(ctx, records[half:])
+	second, err := w.appendSplitting(ctx, records[half:])
 	return append(first, second...), err
 }
 
-// call makes one append until it is answered; the same sequence number again is taken once.
-func (w *Writer) call(ctx context.Context, records []feed.KeyedRecord) error {
+// appendUntilAnswered repeats one append until it is answered. The store accepts a sequence number only once, so repeating is safe.
+func (w *Writer) appendUntilAnswered(ctx context.Context, records []feed.KeyedRecord) error {
 	b := feed.Batch{Records: records, At: -1, Writer: feed.Writer{Name: w.Name, Epoch: w.Epoch, Sequence: w.sequence + 1}}
 	failed := false
 	for ctx.Err() == nil {
-		err := w.once(ctx, b)
+		err := w.appendOnce(ctx, b)
 		switch {
 		case err == nil:
 			w.sequence++
@@ -103,36 +104,36 @@
 				w.Again()
 			}
 			return nil
-		case final(err):
+		case isFinal(err):
 			return err
 		case !failed:
 			w.Failing(err)
 		}
 		failed = true
-		pause(ctx, callPause)
+		sleep(ctx, retryPause)
 	}
 	return ctx.Err()
 }
 
-func (w *Writer) once(ctx context.Context, b feed.Batch) error {
+func (w *Writer) appendOnce(ctx context.Context, b feed.Batch) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := w.Call(ctx, b)
 	return err
 }
 
-// final says whether the same call again would be answered alike.
-func final(err error) bool {
+// isFinal reports whether repeating the call would fail in the same way.
+func isFinal(err error) bool {
 	var fenced *feed.FencedError
-	var outOfStep *feed.SequenceError
+	var sequence *feed.SequenceError
 	var refused *feed.RefusedError
-	return errors.As(err, &fenced) || errors.As(err, &outOfStep) || errors.As(err, &refused)
+	return errors.As(err, &fenced) || errors.As(err, &sequence) || errors.As(err, &refused)
 }
 
-// size returns the bytes of a record as the store counts them: the length of the key, the key and the value.
-func size(r feed.KeyedRecord) int { return 1 + len(r.Key) + len(r.Value) }
+// recordSize returns the size of a record as the store counts it: one byte for the key's length, the key and the value.
+func recordSize(r feed.KeyedRecord) int { return 1 + len(r.Key) + len(r.Value) }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/keep/writer_test.go
+++ b/keep/writer_test.go
@@ -15,65 +15,65 @@
 	"rackstep.dev/feed"
 )
 
-// shelf is a store that takes batches as the users' does: all or nothing, each sequence number once.
-type shelf struct {
-	kept     map[string][]byte
-	calls    int
-	sequence int64
-	epoch    int64
-	answer   string
-	// bad says whether the store refuses a record for good.
-	bad func(r feed.KeyedRecord) bool
-	// trouble is what goes wrong with a call: nothing, not taken, taken without an answer.
-	trouble func() int
+// fakeStore accepts batches as the platform's store does: all or nothing, and each sequence number once.
+type fakeStore struct {
+	stored    map[string][]byte
+	calls     int
+	sequence  int64
+	epoch     int64
+	lastBatch string
+	// refuses reports whether the store permanently refuses a record.
+	refuses func(r feed.KeyedRecord) bool
+	// nextFault returns the fault of the next call: 0 none, 1 not accepted, 2 accepted but not answered.
+	nextFault func() int
 }
 
-func newShelf() *shelf {
-	return &shelf{kept: make(map[string][]byte), bad: func(feed.KeyedRecord) bool { return false }, trouble: func() int { return 0 }}
+func newFakeStore() *fakeStore {
+	return &fakeStore{stored: make(map[string][]byte), refuses: func(feed.KeyedRecord) bool { return false }, nextFault: func() int { return 0 }}
 }
 
-func (s *shelf) append(_ context.Context, b feed.Batch) (int64, error) {
+func (s *fakeStore) append(_ context.Context, b feed.Batch) (int64, error) {
 	s.calls++
-	trouble := s.trouble()
-	if trouble == 1 {
+	fault := s.nextFault()
+	if fault == 1 {
 		return 0, feed.ErrUnavailable
 	}
 	if b.Epoch < s.epoch {
 		return 0, &feed.FencedError{}
 	}
-	name := fmt.Sprint(b.Sequence, b.Records)
+	batch := fmt.Sprint(b.Sequence, b.Records)
 	switch {
-	case b.Sequence == s.sequence && name == s.answer:
-		return 1, nil // the first answer again
+	case b.Sequence == s.sequence && batch == s.lastBatch:
+		return 1, nil // repeats the first answer
 	case b.Sequence != s.sequence+1:
 		return 0, &feed.SequenceError{Want: s.sequence + 1}
 	}
 	for _, r := range b.Records {
-		if s.bad(r) {
+		if s.refuses(r) {
 			return 0, &feed.RefusedError{Answer: "no"}
 		}
 	}
 	for _, r := range b.Records {
-		s.kept[r.Key] = r.Value
+		s.stored[r.Key] = r.Value
 	}
-	s.sequence, s.answer = b.Sequence, name
-	if trouble == 2 {
+	s.sequence, s.lastBatch = b.Sequence, batch
+	if fault == 2 {
 		return 0, feed.ErrUncertain
 	}
 	return 1, nil
 }
 
-func (s *shelf) writer() *Writer {
+func (s *fakeStore) writer() *Writer {
 	return &Writer{Call: s.append, Name: "w", Epoch: 1, RecordMost: 100, Failing: func(error) {}, Again: func() {}}
 }
 
-// The story. A fleet's leader kept all its workers in one record. Past some 3,500 of them the store refused it for good, 400 "records can't be read, or
-// are too long"; it was taken for a store that is away and tried again for ever, and behind it no end and no answer was kept any more. The evidence: the
-// leader's log 14.7 s before the first request, and 7,303 of 14,267 ends that were never taken note of.
+// TestARecordThatIsTooLongCostsItselfAlone guards against one bad record that blocks all later ones. A leader that kept all workers
+// in one record exceeded the store's limit at some 3,500 workers. The permanent refusal (status 400) was treated as an outage and
+// retried for ever, so that 7,303 of 14,267 task completions behind it were never stored.
 func TestARecordThatIsTooLongCostsItselfAlone(t *testing.T) {
 	for _, x := range [...]struct {
 		name string
-		// bounded says that the writer knows the bound, so that the record is never sent.
+		// bounded is set when the writer knows the limit, so that the record is never sent.
 		bounded bool
 		calls   int
 	}{
@@ -82,8 +82,8 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			s := newShelf()
-			s.bad = func(r feed.KeyedRecord) bool { return size(r) > 100 }
+			s := newFakeStore()
+			s.refuses = func(r feed.KeyedRecord) bool { return recordSize(r) > 100 }
 			w := s.writer()
 			if !x.bounded {
 				w.RecordMost = 0
@@ -93,43 +93,45 @@
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(aside, quicktest.HasLen, 1)
 			c.Assert(aside[0].Key, quicktest.Equals, "long")
-			c.Assert(aside[0].Error(), quicktest.Contains, "make what it holds smaller")
-			c.Assert(s.kept, quicktest.HasLen, 4)
+			c.Assert(aside[0].Error(), quicktest.Contains, "reduce its content")
+			c.Assert(s.stored, quicktest.HasLen, 4)
 			c.Assert(s.calls, quicktest.Equals, x.calls)
 		})
 	}
 }
 
 func TestALaterTermEndsTheWriter(t *testing.T) {
-	s := newShelf()
+	s := newFakeStore()
 	s.epoch = 2
 	_, err := s.writer().Append(context.Background(), []feed.KeyedRecord{{Key: "a"}})
 	quicktest.Assert(t, err, quicktest.ErrorAs, new(*feed.FencedError))
 }
 
-// TestWhateverTheStoreAnswersAllButBadRecordsAreKept plays random batches, records that are refused, and calls that fail or are not answered.
+// TestWhateverTheStoreAnswersAllButBadRecordsAreKept appends random batches with records that are refused, while calls fail or are
+// not answered. Exactly the refused records must be reported, and all others stored.
 func TestWhateverTheStoreAnswersAllButBadRecordsAreKept(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		batches := rapid.SliceOfN(rapid.SliceOfN(rapid.SliceOfN(rapid.SampledFrom([]byte("abx")), 1, 120), 1, 9), 1, 5).Draw(r, "batches")
-		troubles := rapid.SliceOfN(rapid.IntRange(0, 2), 0, 30).Draw(r, "troubles")
+		faults := rapid.SliceOfN(rapid.IntRange(0, 2), 0, 30).Draw(r, "faults")
 		var wrong string
-		synctest.Test(t, func(*testing.T) { wrong = appendAll(batches, troubles) })
+		synctest.Test(t, func(*testing.T) { wrong = appendAll(batches, faults) })
 		if wrong != "" {
 			r.Fatal(wrong)
 		}
 	})
 }
 
-// appendAll appends batches of values to a store in which the troubles happen one after the other, and returns what is wrong with what it keeps.
-func appendAll(batches [][][]byte, troubles []int) string {
-	s := newShelf()
-	s.bad = func(r feed.KeyedRecord) bool { return r.Value[0] == 'x' }
-	s.trouble = func() int {
-		if len(troubles) == 0 {
+// appendAll appends batches of values to a store whose calls meet the given faults one after the other. It returns a description of
+// the first difference between what is stored and what should be, or an empty string.
+func appendAll(batches [][][]byte, faults []int) string {
+	s := newFakeStore()
+	s.refuses = func(r feed.KeyedRecord) bool { return r.Value[0] == 'x' }
+	s.nextFault = func() int {
+		if len(faults) == 0 {
 			return 0
 		}
-		next := troubles[0]
-		troubles = troubles[1:]
+		next := faults[0]
+		faults = faults[1:]
 		return next
 	}
 	w := s.writer()
@@ -140,7 +142,7 @@
 		for i, v := range values {
 			r := feed.KeyedRecord{Key: fmt.Sprint("k", i), Value: v}
 			records = append(records, r)
-			if s.bad(r) || size(r) > w.RecordMost {
+			if s.refuses(r) || recordSize(r) > w.RecordMost {
 				wantAside[r.Key] = true
 				continue
 			}
@@ -156,15 +158,15 @@
 			}
 		}
 		if len(aside) != len(wantAside) {
-			return fmt.Sprintf("%d records aside of %d", len(aside), len(wantAside))
+			return fmt.Sprintf("%d records were set aside, want %d", len(aside), len(wantAside))
 		}
 	}
-	if len(s.kept) != len(want) {
-		return fmt.Sprintf("%d records kept of %d", len(s.kept), len(want))
+	if len(s.stored) != len(want) {
+		return fmt.Sprintf("%d records are stored, want %d", len(s.stored), len(want))
 	}
 	for k, v := range want {
-		if string(s.kept[k]) != v {
-			return fmt.Sprintf("%s is kept as %q", k, s.kept[k])
+		if string(s.stored[k]) != v {
+			return fmt.Sprintf("%s is stored as %q", k, s.stored[k])
 		}
 	}
 	return ""
