--- a/feed/clock.go
+++ b/feed/clock.go
@@ -10,36 +10,37 @@
 	"rackstep.dev/internal/clock"
 )
 
-// Clock follows the platform's clock, so that the clocks of two entries need not agree.
+// Clock estimates the platform's time, so that the clocks of the entries need not agree.
 //
-// It takes the Date of the service's latest answer and adds what has passed since by the clock of this machine.
+// It takes the Date header of the service's latest response and adds the time that has passed since by the local clock.
 type Clock struct {
-	// Local is the clock of this machine; the steady clock when nil.
-	Local *clock.Clock
-	seen  atomic.Pointer[reading]
+	// Local is this machine's clock; the steady clock when nil.
+	Local  *clock.Clock
+	latest atomic.Pointer[dateSample]
 }
 
-type reading struct {
-	date time.Time // the service's
-	at   time.Time // ours, by Local
+// dateSample is a Date header and the local time at which it was received.
+type dateSample struct {
+	serverTime time.Time // the response's Date
+	localTime  time.Time // when it was received, by Local
 }
 
-// Now returns the platform's time, or the local one before the first answer.
+// Now returns the platform's estimated time, or the local time before the first response.
 func (c *Clock) Now() time.Time {
 	now := c.Local.Sure()
-	if r := c.seen.Load(); r != nil {
-		return r.date.Add(now.Sub(r.at))
+	if r := c.latest.Load(); r != nil {
+		return r.serverTime.Add(now.Sub(r.localTime))
 	}
 	return now
 }
 
-func (c *Clock) learn(h http.Header) {
+func (c *Clock) update(h http.Header) {
 	if c == nil {
 		return
 	}
-	date, err := http.ParseTime(h.Get("Date"))
+	serverTime, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
 		return
 	}
-	c.seen.Store(&reading{date: date, at: c.Local.Sure()})
+	c.latest.Store(&dateSample{serverTime: serverTime, localTime: c.Local.Sure()})
 }
--- a/feed/doc.go
+++ b/feed/doc.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package feed is the client of the platform's append-only log service, and the
-seam through which the product uses keyed topics of any log service.
+Package feed is the client of the platform's append-only log service and
+defines the interface to the keyed topics of any log service.
 
 A Log appends batches and reads pages:
 
@@ -12,11 +12,11 @@
 		// The batch may be in the log. Read on and look for the record's ID.
 	}
 
-A Reader follows one log from an offset and hands every record on in order,
-each once. The protocol is in docs/PROTOCOLS.md.
+A Reader follows one log from an offset and passes on each record once and in
+order. The protocol is described in docs/PROTOCOLS.md.
 
-A Topic holds the newest value of each key for good. It is a struct of
-functions that an adapter fills in; its appends can be bound to the topic's
-end and to a writer's epoch, which shuts out older writers.
+A Topic keeps the newest value of each key permanently. It is a struct of
+functions that an adapter fills in. An append can be made conditional on the
+end of the topic and on the writer's epoch, which fences off older writers.
 */
 package feed
--- a/feed/log.go
+++ b/feed/log.go
@@ -18,47 +18,47 @@
 
 // Errors of a Log.
 var (
-	// ErrUnavailable means that the log did not take the batch; it can be sent again.
+	// ErrUnavailable means that the log did not accept the batch; it can safely be sent again.
 	ErrUnavailable = errors.New("log unavailable; the batch was not appended, try again later")
 	// ErrUncertain means that the batch may have been appended; look for its records before sending it again.
-	ErrUncertain = errors.New("log gave no answer; read on to see whether the batch was appended")
+	ErrUncertain = errors.New("no answer from the log; read on to see whether the batch was appended")
 )
 
-// TrimmedError says that the log no longer keeps the offset asked for.
+// TrimmedError means that the log no longer has the requested offset.
 type TrimmedError struct {
-	// First is the oldest offset that the log keeps.
+	// First is the oldest offset that the log still has.
 	First int64
 }
 
-// Error returns the first offset kept and the remedy.
+// Error names the oldest available offset and the remedy.
 func (e *TrimmedError) Error() string {
-	return fmt.Sprintf("log keeps records from offset %d on; take the tables from a peer", e.First)
+	return fmt.Sprintf("log is trimmed, its oldest record has offset %d; fetch the tables from a peer", e.First)
 }
 
-// maxPage bounds the bytes of one answer that are read.
-const maxPage = 64 << 20
+// maxPageBytes bounds the size of a response to a read.
+const maxPageBytes = 64 << 20
 
-// Log is one named log of the platform's service.
+// Log is one named log of the platform's log service.
 type Log struct {
 	// URL is the service's base address.
 	URL  string
 	Name string
 	// Client sends the requests; http.DefaultClient when nil.
 	Client *http.Client
-	// Timeout bounds an append, and a read beyond its wait; 2s when 0.
+	// Timeout bounds an append, and a read in addition to its wait; 2s when 0.
 	Timeout time.Duration
-	// Clock learns the service's time from its answers; optional.
+	// Clock is updated from the Date headers of responses; optional.
 	Clock *Clock
 }
 
 // Page is a run of consecutive records.
 type Page struct {
-	// First is the oldest offset kept, Next the offset after the newest record of the log.
+	// First is the oldest offset in the log, Next the offset after its newest record.
 	First, Next int64
 	Records     []Entry
 }
 
-// Entry is one record with its place in the log.
+// Entry is one record and its offset in the log.
 type Entry struct {
 	Offset int64  `json:"offset"`
 	Data   []byte `json:"data"`
@@ -78,11 +78,12 @@
 	return 2 * time.Second
 }
 
-func (l *Log) address() string {
+func (l *Log) recordsURL() string {
 	return l.URL + "/v1/logs/" + url.PathEscape(l.Name) + "/records"
 }
 
-// Append adds the records in one batch and returns the first one's offset, or ErrUnavailable or ErrUncertain.
+// Append adds the records in one batch and returns the offset of the first one. A failed request yields ErrUnavailable or
+// ErrUncertain.
 func (l *Log) Append(ctx context.Context, records [][]byte) (int64, error) {
 	body, err := json.Marshal(struct {
 		Records [][]byte `json:"records"`
@@ -92,18 +93,18 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.timeout())
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.address(), bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, l.recordsURL(), bytes.NewReader(body))
 	if err != nil {
 		return 0, fmt.Errorf("append to %s: %w", l.Name, err)
 	}
-	req.GetBody = nil // an append must not be sent twice behind our back
+	req.GetBody = nil // prevents net/http from silently sending the append twice
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := l.client().Do(req)
 	if err != nil {
 		return 0, appendError(err)
 	}
 	defer resp.Body.Close()
-	l.Clock.learn(resp.Header)
+	l.Clock.update(resp.Header)
 	var answer struct {
 		Offset int64 `json:"offset"`
 	}
@@ -119,7 +120,7 @@
 	return 0, fmt.Errorf("%w: status %d", ErrUncertain, resp.StatusCode)
 }
 
-// appendError tells a connection that was never made from an answer that never came.
+// appendError distinguishes a connection that was never made, so that nothing was appended, from a missing response.
 func appendError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -128,12 +129,12 @@
 	return fmt.Errorf("%w: %v", ErrUncertain, err)
 }
 
-// Read returns records from the offset on; it waits up to wait for the first one.
+// Read returns records starting at offset from. It waits up to wait for the first one.
 func (l *Log) Read(ctx context.Context, from int64, wait time.Duration) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+l.timeout())
 	defer cancel()
 	q := url.Values{"from": {strconv.FormatInt(from, 10)}, "wait": {wait.String()}}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.address()+"?"+q.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.recordsURL()+"?"+q.Encode(), nil)
 	if err != nil {
 		return Page{}, fmt.Errorf("read %s: %w", l.Name, err)
 	}
@@ -142,7 +143,7 @@
 		return Page{}, fmt.Errorf("read %s: %w", l.Name, err)
 	}
 	defer resp.Body.Close()
-	l.Clock.learn(resp.Header)
+	l.Clock.update(resp.Header)
 	var answer struct {
 		First   int64   `json:"first"`
 		Next    int64   `json:"next"`
@@ -151,7 +152,7 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusGone {
 		return Page{}, fmt.Errorf("read %s: status %d", l.Name, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxPage)).Decode(&answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxPageBytes)).Decode(&answer); err != nil {
 		return Page{}, fmt.Errorf("read %s: %w", l.Name, err)
 	}
 	if resp.StatusCode == http.StatusGone {
@@ -160,7 +161,7 @@
 	return Page{First: answer.First, Next: answer.Next, Records: answer.Records}, nil
 }
 
-// AppendOne adds one record; it fails with ErrUnavailable or ErrUncertain.
+// AppendOne adds one record. Its errors are those of Append.
 func (l *Log) AppendOne(ctx context.Context, record []byte) error {
 	_, err := l.Append(ctx, [][]byte{record})
 	return err
--- a/feed/reader.go
+++ b/feed/reader.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// Reader follows a log and hands its records on in order.
+// Reader follows a log and passes its records on in order.
 type Reader struct {
 	Log *Log
-	// Next is the offset of the first record wanted.
+	// Next is the offset of the next record to read.
 	Next int64
 	// Wait bounds one long poll; 5s when 0.
 	Wait time.Duration
 	// Backoff is the pause after a failed read; 200ms when 0.
 	Backoff time.Duration
-	// Page is called with each page that was read, in order; it returns the next offset wanted.
+	// OnPage is called with each page in order. It returns the offset to continue from.
 	Page func(ctx context.Context, p Page) (next int64, err error)
-	// Trimmed is called when the log no longer keeps Next; it returns where to go on.
+	// OnTrimmed is called when the log no longer has offset Next. It returns the offset to continue from.
 	Trimmed func(ctx context.Context, first int64) (next int64, err error)
-	// Failed is called after each failed read; it returns where to go on.
+	// OnError is called after each failed read. It returns the offset to continue from.
 	Failed func(ctx context.Context, next int64, err error) int64
 
-	// atEnd says that the reader has been at the end of the log; before that it never waits.
+	// atEnd is set once the reader has reached the end of the log. Before that, reads do not wait for new records.
 	atEnd bool
 }
 
 // Run reads until the context ends and returns its error.
 func (r *Reader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := r.once(ctx); err != nil {
+		if err := r.readPage(ctx); err != nil {
 			r.Next = r.Failed(ctx, r.Next, err)
-			pause(ctx, orElse(r.Backoff, 200*time.Millisecond))
+			sleep(ctx, durationOr(r.Backoff, 200*time.Millisecond))
 		}
 	}
 	return ctx.Err()
 }
 
-func (r *Reader) once(ctx context.Context) error {
+func (r *Reader) readPage(ctx context.Context) error {
 	var wait time.Duration
 	if r.atEnd {
-		wait = orElse(r.Wait, 5*time.Second)
+		wait = durationOr(r.Wait, 5*time.Second)
 	}
 	page, err := r.Log.Read(ctx, r.Next, wait)
 	var trimmed *TrimmedError
@@ -65,14 +65,14 @@
 	return nil
 }
 
-func orElse(d, def time.Duration) time.Duration {
+func durationOr(d, def time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
 	return def
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
