--- a/plan/estimate.go
+++ b/plan/estimate.go
@@ -8,42 +8,43 @@
 	"rackstep.dev/fleet"
 )
 
-// estimate returns what the plan is expected to cost, beside what no plan can beat.
+// estimate returns the plan's expected cost and lower bounds that no plan for the same instances can beat.
 func estimate(t *fleet.Tables, p fleet.Plan, w *waves, costs Costs) fleet.Estimate {
-	e := fleet.Estimate{Buffer: w.largest}
+	e := fleet.Estimate{Buffer: w.maxOut}
 	if len(p.Steps) == 0 {
 		return e
 	}
 	e.RollOut = time.Duration(p.Waves) * costs.Time()
-	e.RollOutBound = time.Duration(wavesBound(t, p)) * costs.Time()
+	e.RollOutBound = time.Duration(minWaves(t, p)) * costs.Time()
 	e.BufferBound = (len(p.Steps) + p.Waves - 1) / p.Waves
 	for i := range p.Steps {
-		turn := time.Duration(p.Steps[i].Wave) * costs.Time()
-		stay, bound := movesFrom(t, p.Steps[i].Instance, turn, e.RollOut)
-		e.Moves += stay
+		wait := time.Duration(p.Steps[i].Wave) * costs.Time()
+		moves, bound := countMoves(t, p.Steps[i].Instance, wait, e.RollOut)
+		e.Moves += moves
 		e.MovesBound += bound
 	}
 	return e
 }
 
-// movesFrom counts the jobs on the instance that outlast its turn, and those that outlast every turn.
-func movesFrom(t *fleet.Tables, instance string, turn, last time.Duration) (expected, bound int) {
+// countMoves returns the number of jobs on the instance that are expected to run longer than wait, the time until its wave, and
+// the number of those that run longer than the whole roll-out.
+func countMoves(t *fleet.Tables, instance string, wait, rollOut time.Duration) (expected, bound int) {
 	for _, j := range t.Jobs.All {
 		if j.Instance != instance || !j.State.Held() {
 			continue
 		}
-		if j.Spec.RunTime.Std() > turn {
+		if j.Spec.RunTime.Std() > wait {
 			expected++
 		}
-		if j.Spec.RunTime.Std() > last {
+		if j.Spec.RunTime.Std() > rollOut {
 			bound++
 		}
 	}
 	return expected, bound
 }
 
-// wavesBound returns the least number of rounds in which the budgets let the plan's instances be out.
-func wavesBound(t *fleet.Tables, p fleet.Plan) int {
+// minWaves returns the smallest number of waves in which the budgets allow all of the plan's instances to be taken out.
+func minWaves(t *fleet.Tables, p fleet.Plan) int {
 	bound := 1
 	for _, m := range margins(t) {
 		steps := 0
--- a/plan/make.go
+++ b/plan/make.go
@@ -12,17 +12,17 @@
 	"rackstep.dev/fleet"
 )
 
-// Costs are the expected times by which plans are compared.
+// Costs are the expected durations by which plans are compared.
 type Costs struct {
-	// Maintenance is the time from a take-out to the return of an instance without jobs; 2m when 0.
+	// Maintenance is the time from the take-out of an instance without jobs to its return; 2m when 0.
 	Maintenance time.Duration
-	// Patience is how long a job about to end is waited for; derived from the weights when 0.
+	// Patience is how long to wait for a job that is about to end; derived from the weights when 0.
 	Patience time.Duration
 }
 
 const defaultMaintenance = 2 * time.Minute
 
-// Time returns Maintenance or its default.
+// MaintenanceTime returns Maintenance or its default.
 func (c Costs) Time() time.Duration {
 	if c.Maintenance > 0 {
 		return c.Maintenance
@@ -30,7 +30,8 @@
 	return defaultMaintenance
 }
 
-// Wait returns Patience, or what the weights make of it: the more a move weighs beside roll-out time, the longer.
+// JobWait returns Patience, or else a wait derived from the weights: the higher the weight of moves relative to that of roll-out
+// time, the longer the wait.
 func (c Costs) Wait(w fleet.Weights) time.Duration {
 	switch {
 	case c.Patience > 0:
@@ -38,60 +39,62 @@
 	case w.Moves == 0:
 		return 0
 	case w.RollOut == 0:
-		return longestWait * c.Time()
+		return maxWaitFactor * c.Time()
 	}
-	return min(longestWait*c.Time(), time.Duration(w.Moves/w.RollOut*float64(c.Time())))
+	return min(maxWaitFactor*c.Time(), time.Duration(w.Moves/w.RollOut*float64(c.Time())))
 }
 
-// longestWait bounds the wait for a job, in times of one maintenance.
-const longestWait = 4
+// maxWaitFactor bounds the wait for a job, as a multiple of the time for one maintenance.
+const maxWaitFactor = 4
 
-// Make returns the plan for the intent; it fails when the intent can't be understood.
+// Make returns a plan for the intent. It fails when the intent is invalid.
 func Make(t *fleet.Tables, id string, intent fleet.Intent, costs Costs) (fleet.Plan, error) {
-	chosen, left, err := choose(t, intent)
+	chosen, excluded, err := selectCandidates(t, intent)
 	if err != nil {
 		return fleet.Plan{}, err
 	}
-	p := fleet.Plan{ID: id, Intent: intent, Base: t.Version, State: fleet.PlanProposed, Left: left}
+	p := fleet.Plan{ID: id, Intent: intent, Base: t.Version, State: fleet.PlanProposed, Left: excluded}
 	w := newWaves(t, chosen)
 	p.Steps, p.Waves = w.build()
-	p.Left = append(p.Left, w.left...)
+	p.Left = append(p.Left, w.excluded...)
 	p.Estimate = estimate(t, p, w, costs)
 	return p, nil
 }
 
-// candidate is an instance that the intent names and that may be planned.
+// candidate is an instance that the intent selects and that can be planned.
 type candidate struct {
 	in     *fleet.Instance
 	action fleet.Action
 	to     string
-	// held are the cores that jobs hold on it.
-	held int
+	// heldCores is the number of cores that jobs hold on the instance.
+	heldCores int
 }
 
-func choose(t *fleet.Tables, intent fleet.Intent) ([]candidate, []fleet.Left, error) {
+// selectCandidates returns the instances that the intent selects, and those that can't be planned, with the reason.
+func selectCandidates(t *fleet.Tables, intent fleet.Intent) ([]candidate, []fleet.Left, error) {
 	match, err := matcher(t, intent)
 	if err != nil {
 		return nil, nil, err
 	}
 	var chosen []candidate
-	var left []fleet.Left
-	open := openSteps(t)
+	var excluded []fleet.Left
+	planOf := activePlans(t)
 	for id, in := range t.Instances.All {
 		if !match(in) {
 			continue
 		}
-		if reason := unplannable(in, open[id]); reason != "" {
-			left = append(left, fleet.Left{Instance: id, Reason: reason})
+		if reason := exclusionReason(in, planOf[id]); reason != "" {
+			excluded = append(excluded, fleet.Left{Instance: id, Reason: reason})
 			continue
 		}
 		cores, _ := t.Held(id)
-		chosen = append(chosen, candidate{in: in, action: actionOf(intent), to: target(intent, in), held: cores})
+		chosen = append(chosen, candidate{in: in, action: actionOf(intent), to: destinationPool(intent, in), heldCores: cores})
 	}
-	left = append(left, missing(t, intent)...)
-	return chosen, left, nil
+	excluded = append(excluded, unknownInstances(t, intent)...)
+	return chosen, excluded, nil
 }
 
+// matcher returns the predicate that selects the intent's instances. It fails when the intent is invalid.
 func matcher(t *fleet.Tables, i fleet.Intent) (func(*fleet.Instance) bool, error) {
 	if i.Hold && i.Kind != fleet.IntentEmptyRack && i.Kind != fleet.IntentEmptyDataCentre {
 		return nil, fmt.Errorf("intent %s can't hold instances out; use empty-rack or empty-data-centre", i.Kind)
@@ -121,51 +124,52 @@
 		if t.Configuration.Pool(i.Pool) == nil {
 			return nil, fmt.Errorf("pool %q is not in the configuration; set pool to where the instances go", i.Pool)
 		}
-		return listed(i)
+		return matchListed(i)
 	case fleet.IntentReplace:
-		return listed(i)
+		return matchListed(i)
 	}
 	return nil, fmt.Errorf("intent %q is not known; use empty-rack, empty-data-centre, maintain, move or replace", i.Kind)
 }
 
-func listed(i fleet.Intent) (func(*fleet.Instance) bool, error) {
+func matchListed(i fleet.Intent) (func(*fleet.Instance) bool, error) {
 	if len(i.Instances) == 0 {
 		return nil, fmt.Errorf("intent %s names no instance; set instances", i.Kind)
 	}
 	return func(in *fleet.Instance) bool { return slices.Contains(i.Instances, in.ID) }, nil
 }
 
-// missing lists the instances that the intent names and nobody knows.
-func missing(t *fleet.Tables, i fleet.Intent) []fleet.Left {
-	var left []fleet.Left
+// unknownInstances returns the instances that the intent names and the tables don't have.
+func unknownInstances(t *fleet.Tables, i fleet.Intent) []fleet.Left {
+	var excluded []fleet.Left
 	for _, id := range i.Instances {
 		if t.Instances.Get(id) == nil {
-			left = append(left, fleet.Left{Instance: id, Reason: "the instance is not known; look at 'rackstep instances'"})
+			excluded = append(excluded, fleet.Left{Instance: id, Reason: "the instance is not known; look at 'rackstep instances'"})
 		}
 	}
-	return left
+	return excluded
 }
 
-// openSteps returns the active plan of each instance that has a step left.
-func openSteps(t *fleet.Tables) map[string]string {
-	open := make(map[string]string)
+// activePlans returns, for each instance with an unfinished step, the active plan that the step belongs to.
+func activePlans(t *fleet.Tables) map[string]string {
+	plans := make(map[string]string)
 	for id, p := range t.Plans.All {
 		if !p.Active() {
 			continue
 		}
 		for i := range p.Steps {
 			if !p.Steps[i].State.Ended() {
-				open[p.Steps[i].Instance] = id
+				plans[p.Steps[i].Instance] = id
 			}
 		}
 	}
-	return open
+	return plans
 }
 
-func unplannable(in *fleet.Instance, plan string) string {
+// exclusionReason returns why the instance can't be planned, or an empty string.
+func exclusionReason(in *fleet.Instance, plan string) string {
 	switch {
 	case plan != "":
-		return "plan " + plan + " is at work on it; wait for it or cancel it"
+		return "plan " + plan + " has an unfinished step for it; wait for that plan or cancel it"
 	case in.State == fleet.InstanceIdle:
 		return "it is in no pool; name it as a member of a pool"
 	case in.State != fleet.InstanceServing:
@@ -189,65 +193,67 @@
 	return fleet.ActionReboot
 }
 
-func target(i fleet.Intent, in *fleet.Instance) string {
+func destinationPool(i fleet.Intent, in *fleet.Instance) string {
 	if i.Kind == fleet.IntentMove {
 		return i.Pool
 	}
 	return in.Pool
 }
 
-// waves groups candidates so that each service's budget holds.
+// waves groups candidates into waves that respect every budget.
 type waves struct {
-	t       *fleet.Tables
-	waiting []candidate
-	margins []margin
-	left    []fleet.Left
-	// largest is the most instances that one wave takes out.
-	largest int
+	t        *fleet.Tables
+	waiting  []candidate
+	margins  []margin
+	excluded []fleet.Left
+	// maxOut is the size of the largest wave.
+	maxOut int
 }
 
-// margin is a budget and what it can still spare.
+// margin is a budget and the number of instances that it can still spare.
 type margin struct {
 	fleet.Budget
 	fleet.Spare
-	// returning says that it binds only instances that return after their action.
-	returning bool
+	// returningOnly is set when the margin applies only to instances that return after their action.
+	returningOnly bool
 }
 
-// binds says whether the candidate needs the margin's leave to go out.
-func (m *margin) binds(c candidate) bool {
-	return m.Covers(c.in.Pool, c.in.DataCentre) && (!m.returning || c.action == fleet.ActionReboot)
+// appliesTo reports whether taking the candidate out must respect the margin.
+func (m *margin) appliesTo(c candidate) bool {
+	return m.Covers(c.in.Pool, c.in.DataCentre) && (!m.returningOnly || c.action == fleet.ActionReboot)
 }
 
 func newWaves(t *fleet.Tables, chosen []candidate) *waves {
 	slices.SortStableFunc(chosen, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.held, b.held), cmp.Compare(a.in.Rack, b.in.Rack), cmp.Compare(a.in.ID, b.in.ID))
+		return cmp.Or(cmp.Compare(a.heldCores, b.heldCores), cmp.Compare(a.in.Rack, b.in.Rack), cmp.Compare(a.in.ID, b.in.ID))
 	})
 	return &waves{t: t, waiting: chosen, margins: margins(t)}
 }
 
-// margins returns every budget, for pools that run jobs the room that those need, and one instance in each data centre.
+// margins returns the margins of every configured budget, of the capacity that each pool's jobs need, and of one instance in each
+// data centre.
 func margins(t *fleet.Tables) []margin {
 	var all []margin
-	for _, b := range append(t.Configuration.Budgets(), roomForJobs(t)...) {
+	for _, b := range append(t.Configuration.Budgets(), jobCapacityBudgets(t)...) {
 		all = append(all, margin{Budget: b, Spare: t.Spare(b)})
 	}
-	for _, b := range oneInEach(t) {
-		all = append(all, margin{Budget: b, Spare: t.Spare(b), returning: true})
+	for _, b := range onePerDataCentreBudgets(t) {
+		all = append(all, margin{Budget: b, Spare: t.Spare(b), returningOnly: true})
 	}
 	return all
 }
 
-// oneInEach returns budgets that keep one instance of each service's pool in every data centre that has two or more, so
-// that a data centre that is cut off meanwhile can serve on.
+// onePerDataCentreBudgets returns budgets that keep one instance of each service's pool in every data centre that has two or more, so
+// that a data centre that gets cut off during a plan can continue to serve.
 //
-// It is a matter of planning: the fold does not know it, and it only puts instances that return one after the other.
-func oneInEach(t *fleet.Tables) []fleet.Budget {
-	type place struct{ pool, centre string }
-	count := make(map[place]int)
+// These budgets exist only in planning and are not enforced by the fold. They only serialise instances that return after their
+// action.
+func onePerDataCentreBudgets(t *fleet.Tables) []fleet.Budget {
+	type location struct{ pool, dataCentre string }
+	count := make(map[location]int)
 	for _, in := range t.Instances.All {
-		if !in.Down || in.Plan != "" { // one that a plan has out will be back
-			count[place{in.Pool, in.DataCentre}]++
+		if !in.Down || in.Plan != "" { // an instance that a plan has taken out will be back
+			count[location{in.Pool, in.DataCentre}]++
 		}
 	}
 	var budgets []fleet.Budget
@@ -255,7 +261,7 @@
 		s := &t.Configuration.Services[i]
 		b := fleet.Budget{Name: s.Name + " within each data centre", Pool: s.Pool, MinPerDataCentre: 1}
 		for _, dc := range s.DataCentres {
-			if count[place{s.Pool, dc}] > 1 {
+			if count[location{s.Pool, dc}] > 1 {
 				b.DataCentres = append(b.DataCentres, dc)
 			}
 		}
@@ -266,13 +272,13 @@
 	return budgets
 }
 
-// jobRoom is the part of a pool's cores that jobs are planned to fill at most.
-const jobRoom = 0.9
+// maxJobFill is the largest fraction of a pool's cores that jobs may be planned to use.
+const maxJobFill = 0.9
 
-// roomForJobs returns, for each pool with jobs, the instances that are needed to carry what is held and pending.
+// jobCapacityBudgets returns, for each pool with jobs, a budget of the instances that its running and pending jobs need.
 //
-// It is a matter of planning: the fold does not know it.
-func roomForJobs(t *fleet.Tables) []fleet.Budget {
+// These budgets exist only in planning and are not enforced by the fold.
+func jobCapacityBudgets(t *fleet.Tables) []fleet.Budget {
 	needed := make(map[string]int)
 	for _, j := range t.Jobs.All {
 		if !j.State.Ended() {
@@ -294,31 +300,32 @@
 		if needed[p.Name] == 0 || cores[p.Name] == 0 {
 			continue
 		}
-		each := float64(cores[p.Name]) / float64(count[p.Name]) * jobRoom
-		least := int(math.Ceil(float64(needed[p.Name]) / each))
-		budgets = append(budgets, fleet.Budget{Name: "jobs of pool " + p.Name, Pool: p.Name, Min: min(least, count[p.Name]-1)})
+		jobCoresPerInstance := float64(cores[p.Name]) / float64(count[p.Name]) * maxJobFill
+		required := int(math.Ceil(float64(needed[p.Name]) / jobCoresPerInstance))
+		budgets = append(budgets, fleet.Budget{Name: "jobs of pool " + p.Name, Pool: p.Name, Min: min(required, count[p.Name]-1)})
 	}
 	return budgets
 }
 
+// build returns the steps of all waves and the number of waves.
 func (w *waves) build() (steps []fleet.Step, count int) {
 	for len(w.waiting) > 0 {
 		taken := w.next()
 		if len(taken) == 0 {
-			w.giveUp()
+			w.excludeWaiting()
 			break
 		}
 		for _, c := range taken {
 			steps = append(steps, fleet.Step{Instance: c.in.ID, Wave: count, Action: c.action, From: c.in.Pool, To: c.to, State: fleet.StepWaiting})
 		}
-		w.back(taken)
-		w.largest = max(w.largest, len(taken))
+		w.returnToService(taken)
+		w.maxOut = max(w.maxOut, len(taken))
 		count++
 	}
 	return steps, count
 }
 
-// next takes as many waiting candidates as the budgets allow at once.
+// next removes the next wave from the waiting candidates: as many as the budgets allow to be out at once.
 func (w *waves) next() []candidate {
 	var taken, rest []candidate
 	for _, c := range w.waiting {
@@ -327,7 +334,7 @@
 			continue
 		}
 		if c.in.Available() {
-			w.change(c.in.Pool, c.in.DataCentre, -1)
+			w.adjustMargins(c.in.Pool, c.in.DataCentre, -1)
 		}
 		taken = append(taken, c)
 	}
@@ -339,14 +346,15 @@
 func (w *waves) blocking(c candidate) string {
 	for i := range w.margins {
 		m := &w.margins[i]
-		if m.binds(c) && m.In(c.in.DataCentre) < 1 {
+		if m.appliesTo(c) && m.In(c.in.DataCentre) < 1 {
 			return m.Name
 		}
 	}
 	return ""
 }
 
-func (w *waves) change(pool, dataCentre string, n int) {
+// adjustMargins adds n to the margins that cover the pool in the data centre.
+func (w *waves) adjustMargins(pool, dataCentre string, n int) {
 	for i := range w.margins {
 		if w.margins[i].Covers(pool, dataCentre) {
 			w.margins[i].Add(dataCentre, n)
@@ -354,19 +362,19 @@
 	}
 }
 
-// back counts the instances that serve again after the wave.
-func (w *waves) back(taken []candidate) {
+// returnToService adds the instances that serve again after the wave back to the margins.
+func (w *waves) returnToService(taken []candidate) {
 	for _, c := range taken {
 		if c.action != fleet.ActionStop && c.action != fleet.ActionHold {
-			w.change(c.to, c.in.DataCentre, 1)
+			w.adjustMargins(c.to, c.in.DataCentre, 1)
 		}
 	}
 }
 
-// giveUp leaves the rest out of the plan, with the budget that keeps each in place.
-func (w *waves) giveUp() {
+// excludeWaiting excludes the remaining candidates from the plan, with the budget that blocks each as the reason.
+func (w *waves) excludeWaiting() {
 	for _, c := range w.waiting {
-		w.left = append(w.left, fleet.Left{Instance: c.in.ID,
+		w.excluded = append(w.excluded, fleet.Left{Instance: c.in.ID,
 			Reason: fmt.Sprintf("the budget of %s has no instance to spare in %s; add capacity or lower it", w.blocking(c), c.in.DataCentre)})
 	}
 	w.waiting = nil
--- a/plan/next.go
+++ b/plan/next.go
@@ -9,35 +9,35 @@
 	"rackstep.dev/fleet"
 )
 
-// CommandFact is what the platform says of a command.
+// CommandFact is what the platform reports about a command.
 type CommandFact int
 
-// What may be known of a command.
+// States of a command as far as this entry knows.
 const (
-	CommandUnasked CommandFact = iota // this entry has not asked yet
-	CommandAbsent                     // the platform has not seen it
+	CommandUnasked CommandFact = iota // this entry has not asked the platform yet
+	CommandAbsent                     // the platform does not know the command
 	CommandRunning
 	CommandDone
-	CommandExpired // the platform refuses it for ever
+	CommandExpired // the platform refuses it permanently
 )
 
-// Facts is what Next needs to know beside the tables.
+// Facts are the functions by which Next learns what is not in the tables.
 type Facts struct {
 	// Acknowledged returns the entries that route nothing to the draining instance and have nothing in flight there.
 	Acknowledged func(in *fleet.Instance) []string
-	// Missing returns an entry that the platform lists and that has not acknowledged, or an empty string.
+	// Missing returns an entry that the platform lists and that has not acknowledged the drain, or an empty string.
 	Missing func(in *fleet.Instance) string
-	// Command returns what is known of the command.
+	// Command returns what is known about the command.
 	Command func(id string) CommandFact
 }
 
-// Decision is one thing to do now; exactly one field is set.
+// Decision is one action to take now. Exactly one field is set.
 type Decision struct {
-	// Advance is a record for the log.
+	// Advance is a record to append to the log.
 	Advance *fleet.Advance
-	// Command is to be sent to the platform; sending it twice does no harm.
+	// Command is to be sent to the platform. Commands are idempotent.
 	Command *Command
-	// Held says why a step can't go on now.
+	// Held is a step that can't proceed now.
 	Held *Held
 }
 
@@ -47,25 +47,25 @@
 	Action       fleet.Action
 }
 
-// Held is a step that waits.
+// Held is a step that waits, and the reason.
 type Held struct {
 	Instance, Reason string
 }
 
-// Next returns what may be done now for the plan.
+// Next returns the actions that may be taken now for the plan.
 func Next(t *fleet.Tables, p *fleet.Plan, f Facts) []Decision {
 	if !p.Active() {
 		return nil
 	}
-	n := next{t: t, p: p, f: f, first: firstWave(p)}
+	n := decider{t: t, p: p, f: f, currentWave: firstWaitingWave(p)}
 	for i := range p.Steps {
 		n.step(&p.Steps[i])
 	}
 	return n.out
 }
 
-// firstWave returns the earliest wave that still has a waiting step.
-func firstWave(p *fleet.Plan) int {
+// firstWaitingWave returns the earliest wave that still has a waiting step.
+func firstWaitingWave(p *fleet.Plan) int {
 	first := p.Waves
 	for i := range p.Steps {
 		if p.Steps[i].State == fleet.StepWaiting {
@@ -75,18 +75,20 @@
 	return first
 }
 
-type next struct {
+// decider collects the decisions of one call of Next.
+type decider struct {
 	t   *fleet.Tables
 	p   *fleet.Plan
 	f   Facts
 	out []Decision
-	// margins are what the budgets can still lose in this call, so that no record is written in vain.
+	// margins are what the budgets can still spare after the decisions of this call, so that no record is written that the
+	// fold would refuse.
 	margins []margin
-	// first is the earliest wave that still has a waiting step.
-	first int
+	// currentWave is the earliest wave that still has a waiting step.
+	currentWave int
 }
 
-func (n *next) step(s *fleet.Step) {
+func (n *decider) step(s *fleet.Step) {
 	in := n.t.Instances.Get(s.Instance)
 	if in == nil || s.State.Ended() {
 		return
@@ -103,34 +105,35 @@
 	}
 }
 
-func (n *next) advance(s *fleet.Step, in *fleet.Instance, to fleet.StepState, acks []string) {
+func (n *decider) advance(s *fleet.Step, in *fleet.Instance, to fleet.StepState, acks []string) {
 	n.out = append(n.out, Decision{Advance: &fleet.Advance{Plan: n.p.ID, Instance: in.ID, To: to, Generation: in.Generation, Acknowledged: acks}})
 }
 
-func (n *next) hold(in *fleet.Instance, format string, args ...any) {
+func (n *decider) hold(in *fleet.Instance, format string, args ...any) {
 	n.out = append(n.out, Decision{Held: &Held{Instance: in.ID, Reason: fmt.Sprintf(format, args...)}})
 }
 
-func (n *next) waiting(s *fleet.Step, in *fleet.Instance) {
+func (n *decider) waiting(s *fleet.Step, in *fleet.Instance) {
 	if n.p.State != fleet.PlanRunning {
 		return
 	}
-	if s.Wave != n.first {
-		return // an earlier wave has a step that is not out yet
+	if s.Wave != n.currentWave {
+		return // an earlier wave still has a waiting step
 	}
 	if in.State != fleet.InstanceServing || in.Plan != "" {
 		n.hold(in, "it is %s", in.State)
 		return
 	}
-	if !n.take(s, in) {
+	if !n.takeOutAllowed(s, in) {
 		n.hold(in, "a budget needs it in service")
 		return
 	}
 	n.advance(s, in, fleet.StepDraining, nil)
 }
 
-// take says whether the budgets allow one more take-out beside those that this call decided.
-func (n *next) take(s *fleet.Step, in *fleet.Instance) bool {
+// takeOutAllowed reports whether the budgets allow one more take-out in addition to those that this call has decided, and charges
+// it to the margins if so.
+func (n *decider) takeOutAllowed(s *fleet.Step, in *fleet.Instance) bool {
 	if !in.Available() {
 		return true
 	}
@@ -141,11 +144,11 @@
 	if w.blocking(candidate{in: in, action: s.Action}) != "" {
 		return false
 	}
-	w.change(in.Pool, in.DataCentre, -1)
+	w.adjustMargins(in.Pool, in.DataCentre, -1)
 	return true
 }
 
-func (n *next) draining(s *fleet.Step, in *fleet.Instance) {
+func (n *decider) draining(s *fleet.Step, in *fleet.Instance) {
 	if n.p.State == fleet.PlanCancelled {
 		n.advance(s, in, fleet.StepReturned, nil)
 		return
@@ -166,7 +169,7 @@
 	n.advance(s, in, fleet.StepDrained, acks)
 }
 
-func (n *next) drained(s *fleet.Step, in *fleet.Instance) {
+func (n *decider) drained(s *fleet.Step, in *fleet.Instance) {
 	if n.p.State == fleet.PlanCancelled {
 		n.advance(s, in, fleet.StepReturned, nil)
 		return
@@ -174,9 +177,9 @@
 	n.advance(s, in, fleet.StepActing, nil)
 }
 
-func (n *next) acting(s *fleet.Step, in *fleet.Instance) {
+func (n *decider) acting(s *fleet.Step, in *fleet.Instance) {
 	if s.Action == fleet.ActionMove {
-		n.advance(s, in, fleet.StepDone, nil) // released and drained: there is nothing to ask the platform
+		n.advance(s, in, fleet.StepDone, nil) // a drained instance is only reassigned; the platform has no part in it
 		return
 	}
 	if s.Action == fleet.ActionHold {
@@ -191,7 +194,7 @@
 	case CommandUnasked, CommandAbsent:
 		n.out = append(n.out, Decision{Command: &Command{Instance: in.ID, ID: in.Command, Action: s.Action}})
 	case CommandExpired:
-		n.advance(s, in, fleet.StepDrained, nil) // it did not happen and never will: a new one may be sent
+		n.advance(s, in, fleet.StepDrained, nil) // it has not happened and never will, so a new command may be sent
 	case CommandDone:
 		if s.Action == fleet.ActionReboot && in.Down {
 			n.hold(in, "it was rebooted and is not listed as live yet")
@@ -201,34 +204,35 @@
 	}
 }
 
-// Turns returns a function that says how long an instance stays in service before an active plan is expected to take it
-// out, and false when no plan will.
+// TimeToTakeOut returns a function that returns how long an instance is expected to stay in service before an active plan takes
+// it out, and false when no active plan will.
 func Turns(t *fleet.Tables, c Costs) func(instance string) (time.Duration, bool) {
-	turns := make(map[string]time.Duration)
+	times := make(map[string]time.Duration)
 	for _, p := range t.Plans.All {
 		if !p.Active() {
 			continue
 		}
-		first := firstWave(p)
+		first := firstWaitingWave(p)
 		for i := range p.Steps {
 			if s := &p.Steps[i]; s.State == fleet.StepWaiting {
-				turns[s.Instance] = time.Duration(s.Wave-first) * c.Time()
+				times[s.Instance] = time.Duration(s.Wave-first) * c.Time()
 			}
 		}
 	}
 	return func(id string) (time.Duration, bool) {
-		d, ok := turns[id]
+		d, ok := times[id]
 		return d, ok
 	}
 }
 
-// Leaves says whether a job on a draining instance is moved rather than waited for, after it has run for that long.
+// ShouldMove reports whether a job on a draining instance, which has run for ran, is to be moved rather than waited for.
 //
-// Declared run times are far off: when the declared one has passed, the job is taken to run on for as long again.
+// Declared run times are often far off. A job that has exceeded its declared run time is expected to run for as long again as it
+// has run so far.
 func Leaves(j *fleet.Job, ran, patience time.Duration) bool {
-	left := j.Spec.RunTime.Std() - ran
-	if left < 0 {
-		left = ran
+	remaining := j.Spec.RunTime.Std() - ran
+	if remaining < 0 {
+		remaining = ran
 	}
-	return j.Spec.RunTime == 0 || left > patience
+	return j.Spec.RunTime == 0 || remaining > patience
 }
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -14,7 +14,8 @@
 
 const anyHash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
-// testTables has pool p with six instances in two data centres, of which the service needs four, and an empty pool q.
+// testTables returns tables with pool p, which has six instances in two data centres and a service that needs four of them, and an
+// empty pool q.
 func testTables(c *quicktest.C) *fleet.Tables {
 	t := fleet.New()
 	conf := fleet.Configuration{
@@ -88,7 +89,7 @@
 	c := quicktest.New(t)
 	tables := testTables(c)
 	p := fleet.Plan{ID: "x", Base: 1, Waves: 1}
-	for i := range 6 { // one wave, against the budgets
+	for i := range 6 { // all in one wave, which breaks the budgets
 		p.Steps = append(p.Steps, fleet.Step{Instance: fmt.Sprint("i", i), From: "p", To: "p", Action: fleet.ActionReboot})
 	}
 	add(c, tables, fleet.Record{Propose: &fleet.Propose{Plan: p}})
@@ -106,7 +107,8 @@
 	c.Assert(held, quicktest.Equals, 4)
 }
 
-// TestNoDataCentreIsEmptiedByMaintenance has a budget that would allow both instances of a data centre to be out at once.
+// TestNoDataCentreIsEmptiedByMaintenance sets a budget that would allow all instances of a data centre to be out at once. One must
+// stay in service, since a data centre that is cut off meanwhile could not serve otherwise.
 func TestNoDataCentreIsEmptiedByMaintenance(t *testing.T) {
 	c := quicktest.New(t)
 	tables := testTables(c)
@@ -131,7 +133,7 @@
 	c.Assert(serving, quicktest.DeepEquals, map[string]int{"a": 1, "b": 1})
 	gone, err := Make(testTables(c), "y", fleet.Intent{Kind: fleet.IntentMove, Pool: "q", Instances: []string{"i0"}}, Costs{})
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(gone.Steps, quicktest.HasLen, 1) // what does not return is not held to it
+	c.Assert(gone.Steps, quicktest.HasLen, 1) // the rule does not apply to instances that don't return
 }
 
 func TestHeldInstancesStayOutUntilTheirReturnIsOrdered(t *testing.T) {
@@ -178,7 +180,7 @@
 	c.Assert(next[0].Advance.To, quicktest.Equals, fleet.StepDrained)
 }
 
-// BenchmarkMake plans the maintenance of everything at three sizes.
+// BenchmarkMake plans the maintenance of all instances at three fleet sizes.
 func BenchmarkMake(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
 		t := fleet.New()
