--- a/fleet/advance.go
+++ b/fleet/advance.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Advance is the record that moves one step of a plan on.
+// Advance is the record that moves one step of a plan to its next state.
 //
-// Every state it names has a rule of its own; a record that comes late, twice or from a paused executor breaks one.
+// Each target state has its own precondition, so that a record that is late, duplicated or from a paused executor is refused.
 type Advance struct {
 	Plan     string    `cbor:"p"`
 	Instance string    `cbor:"i"`
 	To       StepState `cbor:"s"`
-	// Generation is the instance's generation that the writer saw.
+	// Generation is the instance's generation that the writer has seen.
 	Generation uint64 `cbor:"g"`
-	// Acknowledged are the entries that route nothing to the instance any more; for StepDrained.
+	// Acknowledged are the entries that no longer route to the instance; for StepDrained.
 	Acknowledged []string `cbor:"a,omitempty"`
 }
 
-// CommandID returns the name of the platform command for one take-out of an instance.
+// CommandID returns the ID of the platform command for one take-out of an instance.
 func CommandID(plan, instance string, generation uint64) string {
 	return fmt.Sprintf("%s.%s.%d", plan, instance, generation)
 }
 
 func (t *Tables) advance(at time.Time, a Advance) *Refusal {
 	const remedy = "nothing is to be done; the executor reads the tables again"
-	p, s, in := t.step(a)
+	p, s, in := t.findStep(a)
 	if s == nil || in == nil {
 		return refuse(ReasonUnknown, remedy, "plan %s has no step for instance %s", a.Plan, a.Instance)
 	}
@@ -38,12 +38,12 @@
 	refusal := t.advanceStep(at, a, p, s, in)
 	if refusal == nil {
 		s.State = a.To
-		t.finish(p)
+		t.finishIfComplete(p)
 	}
 	return refusal
 }
 
-func (t *Tables) step(a Advance) (*Plan, *Step, *Instance) {
+func (t *Tables) findStep(a Advance) (*Plan, *Step, *Instance) {
 	p := t.Plans.Get(a.Plan)
 	if p == nil {
 		return nil, nil, nil
@@ -62,11 +62,11 @@
 	case StepDrained:
 		return t.drained(a, s, in)
 	case StepActing:
-		return t.act(p, s, in)
+		return t.startAction(p, s, in)
 	case StepDone:
 		return t.complete(at, p, s, in)
 	case StepReturned:
-		return t.giveBack(p, s, in)
+		return t.returnToService(p, s, in)
 	}
 	return refuse(ReasonInvalid, "report this as a bug", "no record moves a step to %q", a.To)
 }
@@ -95,7 +95,7 @@
 
 func (t *Tables) drained(a Advance, s *Step, in *Instance) *Refusal {
 	if s.State == StepActing && s.Action != ActionMove && s.Action != ActionHold {
-		// The platform refuses the command for ever. A higher generation gives the next one another ID.
+		// The platform refuses this command permanently. The higher generation gives the next command a new ID.
 		in.State = InstanceDrained
 		in.Generation++
 		return nil
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// Unacknowledged returns an entry that may still route to the draining instance, or an empty string.
+// Unacknowledged returns the ID of an entry that may still route to the draining instance, or an empty string.
 func (t *Tables) Unacknowledged(in *Instance, acknowledged []string) string {
 	for id, e := range t.Entries.All {
 		if e.Joined < in.DrainOffset && !slices.Contains(acknowledged, id) {
@@ -124,7 +124,7 @@
 	return ""
 }
 
-func (t *Tables) act(p *Plan, s *Step, in *Instance) *Refusal {
+func (t *Tables) startAction(p *Plan, s *Step, in *Instance) *Refusal {
 	if s.State != StepDrained || p.State == PlanCancelled {
 		return stepRefusal(p, s)
 	}
@@ -152,7 +152,7 @@
 	case ActionMove:
 		in.Pool = s.To
 		if t.Configuration.Pool(s.To) == nil {
-			in.State, in.Pool = InstanceIdle, "" // the pool went while the instance moved
+			in.State, in.Pool = InstanceIdle, "" // the pool was removed while the instance moved
 			return nil
 		}
 	case ActionReboot:
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (t *Tables) giveBack(p *Plan, s *Step, in *Instance) *Refusal {
+func (t *Tables) returnToService(p *Plan, s *Step, in *Instance) *Refusal {
 	if p.State != PlanCancelled || (s.State != StepDraining && s.State != StepDrained) {
 		return stepRefusal(p, s)
 	}
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -4,15 +4,15 @@
 
 import "slices"
 
-// Budget is the number of instances of a pool that must stay available through planned work.
+// Budget is the number of instances of a pool that must stay available during planned work.
 type Budget struct {
-	// Name is the service's, or the pool's with "pool " before it.
+	// Name is the service's name, or the pool's name prefixed with "pool ".
 	Name string
 	Pool string
-	// DataCentres are where instances count; everywhere when empty.
+	// DataCentres are the data centres whose instances count; all when empty.
 	DataCentres []string
 	Min         int
-	// MinPerDataCentre is the same within each of DataCentres; none when 0.
+	// MinPerDataCentre is the minimum within each of DataCentres; none when 0.
 	MinPerDataCentre int
 }
 
@@ -36,19 +36,19 @@
 	return Budget{Name: s.Name, Pool: s.Pool, DataCentres: s.DataCentres, Min: s.MinAvailable, MinPerDataCentre: s.MinPerDataCentre}
 }
 
-// Covers says whether an instance of the pool in the data centre counts for the budget.
+// Covers reports whether an instance of the pool in the data centre counts towards the budget.
 func (b *Budget) Covers(pool, dataCentre string) bool {
 	return b.Pool == pool && (len(b.DataCentres) == 0 || slices.Contains(b.DataCentres, dataCentre))
 }
 
-// Spare is how many more instances a budget can lose.
+// Spare is the number of instances that a budget can still lose.
 type Spare struct {
 	Total int
 	// PerDataCentre is nil when the budget has no minimum per data centre.
 	PerDataCentre map[string]int
 }
 
-// In returns how many more instances of the data centre can be lost; negative when the budget is broken.
+// In returns how many more instances of the data centre can be lost. It is negative when the budget is broken.
 func (s Spare) In(dataCentre string) int {
 	if s.PerDataCentre == nil {
 		return s.Total
@@ -56,7 +56,7 @@
 	return min(s.Total, s.PerDataCentre[dataCentre])
 }
 
-// Least returns the smallest spare of any data centre.
+// Min returns the smallest spare of any data centre, or the total if that is smaller.
 func (s Spare) Least() int {
 	least := s.Total
 	for _, n := range s.PerDataCentre {
@@ -90,10 +90,10 @@
 	return s
 }
 
-// TakeOutRefusal says why taking the instance out now would break a budget, or returns nil.
+// TakeOutRefusal returns the refusal for taking the instance out now if that would break a budget, or nil.
 func (t *Tables) TakeOutRefusal(in *Instance) *Refusal {
 	if !in.Available() {
-		return nil // it is charged to the budgets already
+		return nil // an unavailable instance is already missing from the budgets
 	}
 	for _, b := range t.Configuration.Budgets() {
 		if !b.Covers(in.Pool, in.DataCentre) {
--- a/fleet/check.go
+++ b/fleet/check.go
@@ -8,20 +8,20 @@
 	"slices"
 )
 
-// Problem is one fault of a configuration: where it is and what mends it.
+// Problem is one error in a configuration: where it is and how to correct it.
 type Problem struct {
-	// Path names the faulty value as a JSON pointer (RFC 6901).
+	// Path is the JSON pointer (RFC 6901) to the faulty value.
 	Path string
-	// Detail says what is wrong and what to write in its place.
+	// Detail says what is wrong and what to write instead.
 	Detail string
 }
 
 // String returns the path and the detail on one line.
 func (p Problem) String() string { return p.Path + ": " + p.Detail }
 
-// Check returns every problem of the configuration, none when it can be published.
+// Check returns all problems of the configuration; it can be published when there are none.
 func (c *Configuration) Check() []Problem {
-	k := checker{c: c}
+	k := checker{conf: c}
 	k.dataCentres()
 	k.pools()
 	k.services()
@@ -30,8 +30,9 @@
 	return k.problems
 }
 
+// checker collects the problems of a configuration.
 type checker struct {
-	c        *Configuration
+	conf     *Configuration
 	problems []Problem
 }
 
@@ -40,16 +41,16 @@
 }
 
 func (k *checker) dataCentres() {
-	if len(k.c.DataCentres) == 0 {
+	if len(k.conf.DataCentres) == 0 {
 		k.add("/data_centres", "is empty; name at least one data centre")
 	}
-	checkNames(k, "/data_centres", k.c.DataCentres, dataCentreName)
+	checkNames(k, "/data_centres", k.conf.DataCentres, dataCentreName)
 }
 
 func (k *checker) pools() {
-	checkNames(k, "/pools", k.c.Pools, poolName)
+	checkNames(k, "/pools", k.conf.Pools, poolName)
 	owner := make(map[string]string)
-	for i, p := range k.c.Pools {
+	for i, p := range k.conf.Pools {
 		k.notNegative(fmt.Sprintf("/pools/%d/min_available", i), p.MinAvailable)
 		for j, m := range p.Members {
 			if other, ok := owner[m]; ok {
@@ -61,17 +62,17 @@
 }
 
 func (k *checker) services() {
-	checkNames(k, "/services", k.c.Services, serviceName)
-	for i, s := range k.c.Services {
+	checkNames(k, "/services", k.conf.Services, serviceName)
+	for i, s := range k.conf.Services {
 		path := fmt.Sprintf("/services/%d", i)
-		if k.c.Pool(s.Pool) == nil {
+		if k.conf.Pool(s.Pool) == nil {
 			k.add(path+"/pool", "pool %q is not declared; add it under pools or correct the name", s.Pool)
 		}
 		if len(s.DataCentres) == 0 {
 			k.add(path+"/data_centres", "is empty; name the data centres where the service may run")
 		}
 		for j, d := range s.DataCentres {
-			if k.c.DataCentre(d) == nil {
+			if k.conf.DataCentre(d) == nil {
 				k.add(fmt.Sprintf("%s/data_centres/%d", path, j), "data centre %q is not declared; add it under data_centres", d)
 			}
 		}
@@ -98,8 +99,8 @@
 }
 
 func (k *checker) teams() {
-	checkNames(k, "/teams", k.c.Teams, teamName)
-	for i, t := range k.c.Teams {
+	checkNames(k, "/teams", k.conf.Teams, teamName)
+	for i, t := range k.conf.Teams {
 		path := fmt.Sprintf("/teams/%d", i)
 		k.tokenHash(path, t.TokenHash)
 		k.notNegative(path+"/share", t.Share)
@@ -108,11 +109,11 @@
 }
 
 func (k *checker) operators() {
-	checkNames(k, "/operators", k.c.Operators, operatorName)
-	if len(k.c.Operators) == 0 {
+	checkNames(k, "/operators", k.conf.Operators, operatorName)
+	if len(k.conf.Operators) == 0 {
 		k.add("/operators", "is empty; name at least one operator, or nobody can publish again")
 	}
-	for i, o := range k.c.Operators {
+	for i, o := range k.conf.Operators {
 		k.tokenHash(fmt.Sprintf("/operators/%d", i), o.TokenHash)
 	}
 }
@@ -123,24 +124,27 @@
 	}
 }
 
-const maxName = 64
+// maxNameLength bounds the length of a name in bytes.
+const maxNameLength = 64
 
-func checkNames[R any](k *checker, path string, rows []R, of func(*R) string) {
+// checkNames checks that the names of the rows are valid and unique.
+func checkNames[R any](k *checker, path string, rows []R, nameOf func(*R) string) {
 	var seen []string
 	for i := range rows {
-		name, at := of(&rows[i]), fmt.Sprintf("%s/%d/name", path, i)
+		name, namePath := nameOf(&rows[i]), fmt.Sprintf("%s/%d/name", path, i)
 		switch {
 		case !validName(name):
-			k.add(at, "%q is not a name; use 1 to %d letters, digits, '.', '_' or '-'", name, maxName)
+			k.add(namePath, "%q is not a name; use 1 to %d letters, digits, '.', '_' or '-'", name, maxNameLength)
 		case slices.Contains(seen, name):
-			k.add(at, "%q stands twice; names are unique", name)
+			k.add(namePath, "%q stands twice; names are unique", name)
 		}
 		seen = append(seen, name)
 	}
 }
 
+// validName reports whether s is a valid name of a configured object or a job.
 func validName(s string) bool {
-	if s == "" || len(s) > maxName {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for _, r := range s {
--- a/fleet/configuration.go
+++ b/fleet/configuration.go
@@ -2,7 +2,7 @@
 
 package fleet
 
-// Configuration is what operators publish: it is accepted whole or refused whole.
+// Configuration is what operators publish. It is accepted or refused as a whole.
 type Configuration struct {
 	DataCentres []DataCentre `json:"data_centres"`
 	Pools       []Pool       `json:"pools"`
@@ -12,7 +12,7 @@
 	Weights     Weights      `json:"weights"`
 }
 
-// DataCentre is a place that data may be bound to.
+// DataCentre is a location to which services and jobs can be restricted.
 type DataCentre struct {
 	Name   string `json:"name"`
 	Region string `json:"region"`
@@ -23,27 +23,27 @@
 	Name string `json:"name"`
 	// Members are the IDs of instances that join the pool when they are first seen.
 	Members []string `json:"members"`
-	// MinAvailable is the number of instances that must stay available through planned work, whatever services run on them.
+	// MinAvailable is the number of instances that must stay available during planned work, independently of services.
 	MinAvailable int `json:"min_available"`
 }
 
-// Service is a set of requests that the instances of one pool answer.
+// Service is a kind of request that the instances of one pool answer.
 type Service struct {
 	Name string `json:"name"`
 	Pool string `json:"pool"`
-	// DataCentres are the only places where the service's requests may run.
+	// DataCentres are the only data centres in which the service's requests may run.
 	DataCentres []string `json:"data_centres"`
-	// MinAvailable is the availability budget: instances that must stay in service through planned work.
+	// MinAvailable is the availability budget: the number of instances that must stay in service during planned work.
 	MinAvailable int `json:"min_available"`
 	// MinPerDataCentre is the same budget within each of the service's data centres.
 	MinPerDataCentre int `json:"min_per_data_centre"`
-	// Slots is the number of requests that one instance runs at once; 8 when 0.
+	// Slots is the number of requests that one instance runs concurrently; 8 when 0.
 	Slots int `json:"slots"`
 	// Connections is the number of connections that one instance accepts; 64 when 0.
 	Connections int `json:"connections"`
 	// Queue is the number of requests that may wait in one data centre; 256 when 0.
 	Queue int `json:"queue"`
-	// Timeout bounds one request from its arrival to its answer; 10s when 0.
+	// Timeout bounds one request from its arrival to its response; 10s when 0.
 	Timeout Duration `json:"timeout"`
 }
 
@@ -70,14 +70,14 @@
 	return v
 }
 
-// Team is a group of callers with a quota.
+// Team is a group of callers that share a quota.
 type Team struct {
 	Name string `json:"name"`
 	// TokenHash is the SHA-256 of the team's token in hexadecimal.
 	TokenHash string `json:"token_hash"`
-	// Share is the team's weight when requests of several teams wait; 1 when 0.
+	// Share is the team's weight when requests of several teams are queued; 1 when 0.
 	Share int `json:"share"`
-	// JobCores bounds the processors that the team's jobs hold at once; no bound when 0.
+	// JobCores bounds the cores that the team's jobs hold at once; unbounded when 0.
 	JobCores int `json:"job_cores"`
 }
 
@@ -87,7 +87,7 @@
 	TokenHash string `json:"token_hash"`
 }
 
-// Weights say what a site pays for each of the three measures when plans are compared.
+// Weights are the relative costs of roll-out time, buffer instances and moved jobs when plans are compared.
 type Weights struct {
 	RollOut float64 `json:"roll_out"`
 	Buffer  float64 `json:"buffer"`
@@ -114,9 +114,9 @@
 func operatorName(o *Operator) string     { return o.Name }
 func dataCentreName(d *DataCentre) string { return d.Name }
 
-func byName[R any](rows []R, name string, of func(*R) string) *R {
+func byName[R any](rows []R, name string, nameOf func(*R) string) *R {
 	for i := range rows {
-		if of(&rows[i]) == name {
+		if nameOf(&rows[i]) == name {
 			return &rows[i]
 		}
 	}
--- a/fleet/configure.go
+++ b/fleet/configure.go
@@ -4,7 +4,7 @@
 
 // Configure is the record that publishes a configuration.
 type Configure struct {
-	// Base is the version that the configuration was made from.
+	// Base is the version that the configuration is based on.
 	Base          uint64        `cbor:"b"`
 	Configuration Configuration `cbor:"c"`
 }
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// assignMembers puts instances that were never in a pool into the pool that names them.
+// assignMembers assigns each instance that has never been in a pool to the pool that lists it as a member.
 func (t *Tables) assignMembers() {
 	for _, p := range t.Configuration.Pools {
 		for _, id := range p.Members {
--- a/fleet/diff.go
+++ b/fleet/diff.go
@@ -9,17 +9,17 @@
 
 // Change is one difference between two configurations.
 type Change struct {
-	// Kind is what differs, as in "service"; Name is its name.
+	// Kind is the kind of object, such as "service"; Name is its name.
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// What is added, removed or changed.
+	// What is one of "added", "removed" and "changed".
 	What string `json:"what"`
 }
 
 // String returns the change on one line.
 func (c Change) String() string { return fmt.Sprintf("%s %s %s", c.What, c.Kind, c.Name) }
 
-// Diff returns what differs from old to new, in the order of the configuration's parts.
+// Diff returns the changes from old to new, in the order of the configuration's fields.
 func Diff(old, new Configuration) []Change {
 	var all []Change
 	all = append(all, diffRows("data centre", old.DataCentres, new.DataCentres, dataCentreName)...)
@@ -33,11 +33,11 @@
 	return all
 }
 
-func diffRows[R any](kind string, old, new []R, of func(*R) string) []Change {
+func diffRows[R any](kind string, old, new []R, nameOf func(*R) string) []Change {
 	var changes []Change
 	for i := range old {
-		name := of(&old[i])
-		switch row := byName(new, name, of); {
+		name := nameOf(&old[i])
+		switch row := byName(new, name, nameOf); {
 		case row == nil:
 			changes = append(changes, Change{kind, name, "removed"})
 		case !reflect.DeepEqual(old[i], *row):
@@ -45,7 +45,7 @@
 		}
 	}
 	for i := range new {
-		if name := of(&new[i]); byName(old, name, of) == nil {
+		if name := nameOf(&new[i]); byName(old, name, nameOf) == nil {
 			changes = append(changes, Change{kind, name, "added"})
 		}
 	}
--- a/fleet/duration.go
+++ b/fleet/duration.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Duration is a time.Duration that reads and writes as text such as "1.5s".
+// Duration is a time.Duration that is encoded as text such as "1.5s".
 type Duration time.Duration
 
 // MarshalText returns the duration as time.Duration prints it; it never fails.
@@ -15,7 +15,7 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText parses text such as "300ms"; it fails on anything else.
+// UnmarshalText parses text such as "300ms" as time.ParseDuration does.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -25,5 +25,5 @@
 	return nil
 }
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
--- a/fleet/entry.go
+++ b/fleet/entry.go
@@ -2,24 +2,25 @@
 
 package fleet
 
-// Entry is one running rackstepd.
+// Entry is one running rackstepd process.
 type Entry struct {
 	ID         string
 	DataCentre string
-	// Boot tells two lives of the same instance apart.
+	// Boot distinguishes runs of the same entry.
 	Boot string
 	// PeerAddress, CallerAddress and OperatorAddress are IP addresses with ports.
 	PeerAddress, CallerAddress, OperatorAddress string
-	// Joined is the offset at which this life joined.
+	// Joined is the offset at which this boot of the entry joined.
 	Joined int64
 }
 
-// Join is the record by which an entry becomes one that drains wait for.
+// Join is the record that adds an entry to those whose acknowledgement drains wait for.
 type Join struct {
 	Entry Entry `cbor:"e"`
 }
 
-// Leave is the record that an entry's life is over, written by itself or by one that saw it gone from the platform.
+// Leave is the record that a boot of an entry has ended. It is written by the entry itself, or by another entry that has seen it
+// disappear from the platform's list.
 type Leave struct {
 	ID   string `cbor:"i"`
 	Boot string `cbor:"b"`
--- a/fleet/fold_test.go
+++ b/fleet/fold_test.go
@@ -13,14 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// oracle knows in the simplest way what must hold, from the records that were admitted.
+// oracle applies records to the tables and checks the fold's invariants with the simplest possible bookkeeping.
 type oracle struct {
-	t       *Tables
-	offset  int64
-	log     []Record
-	version uint64
-	begun   map[string]int // starts of each job that the platform has not disproved or checkpointed
-	gens    map[string]uint64
+	t           *Tables
+	offset      int64
+	log         []Record
+	version     uint64
+	starts      map[string]int // starts of each job, without those reported as not started or checkpointed
+	generations map[string]uint64
 }
 
 const (
@@ -46,21 +46,21 @@
 func instanceName(i int) string { return fmt.Sprintf("i%d", i) }
 
 func newOracle() *oracle {
-	o := &oracle{t: New(), begun: make(map[string]int), gens: make(map[string]uint64)}
-	o.add(Record{Configure: &Configure{Configuration: testConfiguration(0)}})
+	o := &oracle{t: New(), starts: make(map[string]int), generations: make(map[string]uint64)}
+	o.apply(Record{Configure: &Configure{Configuration: testConfiguration(0)}})
 	var seen []Observation
 	for i := range testInstances {
 		seen = append(seen, Observation{ID: instanceName(i), DataCentre: []string{"a", "b"}[i%2], Rack: "r", Address: "10.0.0.1:1", Cores: 4, MemoryMB: 100})
 	}
-	o.add(Record{Observe: &Observe{Instances: seen}})
+	o.apply(Record{Observe: &Observe{Instances: seen}})
 	for _, e := range [...]string{"e1", "e2"} {
-		o.add(Record{Join: &Join{Entry: Entry{ID: e, Boot: "1", DataCentre: "a"}}})
+		o.apply(Record{Join: &Join{Entry: Entry{ID: e, Boot: "1", DataCentre: "a"}}})
 	}
 	return o
 }
 
-// add folds the record as the next one of the log.
-func (o *oracle) add(r Record) *Refusal {
+// apply appends the record to the log and applies it to the tables.
+func (o *oracle) apply(r Record) *Refusal {
 	if r.ID == "" {
 		r.ID = fmt.Sprintf("r%d", len(o.log))
 	}
@@ -70,22 +70,23 @@
 	return refusal
 }
 
-// check fails when a rule is broken; before and r are the state and the record that led here.
+// check fails the test when an invariant is broken. r is the record that was applied last, refusal its result, and spareBefore the
+// spare of each budget before it.
 func (o *oracle) check(t *rapid.T, spareBefore map[string]int, r Record, refusal *Refusal) {
 	if o.t.Version < o.version {
-		t.Fatalf("the version went back from %d to %d", o.version, o.t.Version)
+		t.Fatalf("the version decreased from %d to %d", o.version, o.t.Version)
 	}
 	o.version = o.t.Version
 	for id, in := range o.t.Instances.All {
-		if in.Generation < o.gens[id] {
-			t.Fatalf("the generation of %s went back", id)
+		if in.Generation < o.generations[id] {
+			t.Fatalf("the generation of %s decreased", id)
 		}
-		o.gens[id] = in.Generation
+		o.generations[id] = in.Generation
 		if (in.State == InstanceServing) != (in.Pool != "" && in.Plan == "" && in.State != InstanceIdle) && in.State != InstanceRetired && in.State != InstanceIdle {
 			t.Fatalf("instance %s is %s in pool %q of plan %q", id, in.State, in.Pool, in.Plan)
 		}
 	}
-	o.checkHolding(t)
+	o.checkUsage(t)
 	if refusal != nil {
 		return
 	}
@@ -108,13 +109,13 @@
 		o.checkDrained(t, a)
 	}
 	if a := r.Advance; a != nil && a.To == StepDone {
-		o.checkHeld(t, a)
+		o.checkHoldReturn(t, a)
 	}
 	o.checkJobs(t, r)
 }
 
-// checkHolding adds up anew what the tables keep beside the jobs.
-func (o *oracle) checkHolding(t *rapid.T) {
+// checkUsage recomputes the usage that the tables maintain incrementally.
+func (o *oracle) checkUsage(t *rapid.T) {
 	cores, teams := make(map[string]int), make(map[string]int)
 	for _, j := range o.t.Jobs.All {
 		if j.State.Held() {
@@ -135,8 +136,8 @@
 	}
 }
 
-// checkHeld sees that no held instance returns before an operator has ordered it or cancelled the plan.
-func (o *oracle) checkHeld(t *rapid.T, a *Advance) {
+// checkHoldReturn checks that no held instance returns before an operator has ordered its return or cancelled the plan.
+func (o *oracle) checkHoldReturn(t *rapid.T, a *Advance) {
 	p := o.t.Plans.Get(a.Plan)
 	for _, s := range p.Steps {
 		if s.Instance == a.Instance && s.Action == ActionHold && !p.Release && p.State != PlanCancelled {
@@ -145,7 +146,8 @@
 	}
 }
 
-// checkDrained sees that every entry that could route to the instance has acknowledged, and that nothing runs there.
+// checkDrained checks that every entry that could route to the instance has acknowledged the drain, and that no jobs hold resources
+// there.
 func (o *oracle) checkDrained(t *rapid.T, a *Advance) {
 	in := o.t.Instances.Get(a.Instance)
 	for id, e := range o.t.Entries.All {
@@ -158,20 +160,22 @@
 	}
 }
 
+// checkJobs checks that no job that is not repeatable is started twice.
 func (o *oracle) checkJobs(t *rapid.T, r Record) {
 	if r.Start != nil {
-		o.begun[r.Start.Job]++
+		o.starts[r.Start.Job]++
 	}
 	if r.Settle != nil && slices.Contains([]Outcome{OutcomeNotStarted, OutcomeCheckpointed}, r.Settle.Outcome) {
-		o.begun[r.Settle.Job]--
+		o.starts[r.Settle.Job]--
 	}
-	for id, n := range o.begun {
+	for id, n := range o.starts {
 		if j := o.t.Jobs.Get(id); j != nil && !j.Spec.Repeatable && n > 1 {
-			t.Fatalf("job %s, not to be repeated, was begun %d times", id, n)
+			t.Fatalf("job %s is not repeatable and was started %d times", id, n)
 		}
 	}
 }
 
+// spare returns the smallest spare of each budget, by name.
 func (o *oracle) spare() map[string]int {
 	spare := make(map[string]int)
 	for _, b := range o.t.Configuration.Budgets() {
@@ -180,7 +184,7 @@
 	return spare
 }
 
-// record draws a record that some writer might write: from the current state, from an old one, or from none.
+// record draws a record that a writer could append: based on the current state, on an old one, or on none.
 func (o *oracle) record(t *rapid.T) Record {
 	instance := instanceName(rapid.IntRange(0, testInstances-1).Draw(t, "instance"))
 	job := fmt.Sprintf("j%d", rapid.IntRange(0, 4).Draw(t, "job"))
@@ -196,7 +200,7 @@
 	case 4:
 		return o.propose(t)
 	case 5:
-		return Record{By: "o", Control: &Control{Plan: o.anyPlan(t), Order: rapid.SampledFrom([]Order{OrderConfirm, OrderConfirm, OrderPause, OrderResume, OrderCancel, OrderReturn}).Draw(t, "order")}}
+		return Record{By: "o", Control: &Control{Plan: o.knownPlanID(t), Order: rapid.SampledFrom([]Order{OrderConfirm, OrderConfirm, OrderPause, OrderResume, OrderCancel, OrderReturn}).Draw(t, "order")}}
 	case 6, 7, 8:
 		return o.advance(t, instance)
 	case 9:
@@ -208,30 +212,30 @@
 	return o.settle(t, job)
 }
 
-func (o *oracle) plan(t *rapid.T) string {
+func (o *oracle) planID(t *rapid.T) string {
 	return fmt.Sprintf("plan%d", rapid.IntRange(0, 3).Draw(t, "plan"))
 }
 
-// anyPlan draws a plan that is known, if there is one.
-func (o *oracle) anyPlan(t *rapid.T) string {
+// knownPlanID draws the ID of an existing plan, if there is one.
+func (o *oracle) knownPlanID(t *rapid.T) string {
 	if rows := o.t.Plans.Rows(); len(rows) > 0 {
 		return rapid.SampledFrom(rows).Draw(t, "known").ID
 	}
-	return o.plan(t)
+	return o.planID(t)
 }
 
-// mostly says true three times in four, so that whole paths are walked and each step is also left wrong.
-func mostly(t *rapid.T, label string) bool { return rapid.IntRange(0, 3).Draw(t, label) > 0 }
+// usually draws true three times in four, so that complete sequences of steps occur and each step is also sometimes wrong.
+func usually(t *rapid.T, label string) bool { return rapid.IntRange(0, 3).Draw(t, label) > 0 }
 
 func (o *oracle) propose(t *rapid.T) Record {
-	p := Plan{ID: o.plan(t), Base: rapid.Uint64Range(0, o.t.Version).Draw(t, "base"), Intent: Intent{Hold: rapid.Bool().Draw(t, "hold")}}
-	if mostly(t, "current") {
+	p := Plan{ID: o.planID(t), Base: rapid.Uint64Range(0, o.t.Version).Draw(t, "base"), Intent: Intent{Hold: rapid.Bool().Draw(t, "hold")}}
+	if usually(t, "current") {
 		p.Base = o.t.Version
 	}
 	chosen := rapid.SliceOfNDistinct(rapid.IntRange(0, testInstances-1), 1, 4, rapid.ID).Draw(t, "instances")
 	for i, n := range chosen {
 		s := Step{Instance: instanceName(n), Wave: i / 2, From: "p", To: "p", Action: ActionReboot}
-		if in := o.t.Instances.Get(s.Instance); in != nil && mostly(t, "pool") {
+		if in := o.t.Instances.Get(s.Instance); in != nil && usually(t, "pool") {
 			s.From, s.To = in.Pool, in.Pool
 		}
 		if rapid.IntRange(0, 2).Draw(t, "move") == 0 {
@@ -244,33 +248,33 @@
 	return Record{By: "o", Propose: &Propose{Plan: p}}
 }
 
-// following are the states that may come after each state of a step.
-var following = map[StepState][]StepState{
+// nextStepStates are the states that can follow each state of a step.
+var nextStepStates = map[StepState][]StepState{
 	StepWaiting: {StepDraining}, StepDraining: {StepDrained, StepDrained, StepReturned}, StepDrained: {StepActing, StepActing, StepReturned},
 	StepActing: {StepDone, StepDone, StepDrained},
 }
 
 func (o *oracle) advance(t *rapid.T, instance string) Record {
 	all := []string{"e1", "e2", "e3"}
-	a := Advance{Plan: o.plan(t), Instance: instance, Acknowledged: all}
+	a := Advance{Plan: o.planID(t), Instance: instance, Acknowledged: all}
 	a.To = rapid.SampledFrom([]StepState{StepDraining, StepDrained, StepActing, StepDone, StepReturned}).Draw(t, "to")
 	for id, p := range o.t.Plans.All {
-		if !p.Active() || !mostly(t, "follow") {
+		if !p.Active() || !usually(t, "follow") {
 			continue
 		}
 		s := p.Steps[rapid.IntRange(0, len(p.Steps)-1).Draw(t, "step")]
 		a.Plan, a.Instance = id, s.Instance
-		if next := following[s.State]; next != nil {
+		if next := nextStepStates[s.State]; next != nil {
 			a.To = rapid.SampledFrom(next).Draw(t, "next")
 		}
 		break
 	}
-	if !mostly(t, "acknowledged") {
+	if !usually(t, "acknowledged") {
 		a.Acknowledged = rapid.SliceOfDistinct(rapid.SampledFrom(all), rapid.ID).Draw(t, "acks")
 	}
 	if in := o.t.Instances.Get(a.Instance); in != nil {
 		a.Generation = in.Generation
-		if !mostly(t, "generation") {
+		if !usually(t, "generation") {
 			a.Generation -= min(in.Generation, 1)
 		}
 	}
@@ -309,23 +313,25 @@
 	return Record{Settle: &s}
 }
 
+// TestFoldKeepsItsRulesWhateverIsWritten applies random sequences of records, including late and duplicate ones, and checks the
+// fold's invariants after each. A second fold of the same log, with a checkpoint in between, must give equal tables.
 func TestFoldKeepsItsRulesWhateverIsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle()
 		for range rapid.IntRange(1, 120).Draw(t, "records") {
 			r := o.record(t)
 			if len(o.log) > 8 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
-				r = o.log[rapid.IntRange(4, len(o.log)-1).Draw(t, "old")] // a duplicate, or a late copy
+				r = o.log[rapid.IntRange(4, len(o.log)-1).Draw(t, "old")] // a duplicate or a late record
 			}
 			before := o.spare()
-			o.check(t, before, r, o.add(r))
+			o.check(t, before, r, o.apply(r))
 		}
-		o.sameElsewhere(t)
+		o.checkReplay(t)
 	})
 }
 
-// sameElsewhere folds the log again with a checkpoint in the middle and compares.
-func (o *oracle) sameElsewhere(t *rapid.T) {
+// checkReplay applies the log again, with a checkpoint at a random place, and compares the resulting tables.
+func (o *oracle) checkReplay(t *rapid.T) {
 	other := New()
 	cut := rapid.IntRange(0, len(o.log)).Draw(t, "checkpoint")
 	for i, r := range o.log {
@@ -351,14 +357,14 @@
 	a, errA := o.t.Checkpoint()
 	b, errB := other.Checkpoint()
 	if errA != nil || errB != nil || !bytes.Equal(a, b) {
-		t.Fatalf("two folds of the same log differ: %v %v", errA, errB)
+		t.Fatalf("two folds of the same log give different checkpoints: %v %v", errA, errB)
 	}
 }
 
-// admit folds a record that must not be refused.
-func admit(c *quicktest.C, o *oracle, r Record) {
+// mustApply applies a record that must not be refused.
+func mustApply(c *quicktest.C, o *oracle, r Record) {
 	c.Helper()
-	if refusal := o.add(r); refusal != nil {
+	if refusal := o.apply(r); refusal != nil {
 		c.Fatal(refusal)
 	}
 }
@@ -367,9 +373,9 @@
 	c := quicktest.New(t)
 	o := newOracle()
 	p := Plan{ID: "x", Base: 1, Steps: []Step{{Instance: "i0", From: "p", To: "p", Action: ActionReboot}}}
-	admit(c, o, Record{Propose: &Propose{Plan: p}})
-	admit(c, o, Record{Configure: &Configure{Base: 1, Configuration: testConfiguration(1)}})
-	refusal := o.add(Record{Control: &Control{Plan: "x", Order: OrderConfirm}})
+	mustApply(c, o, Record{Propose: &Propose{Plan: p}})
+	mustApply(c, o, Record{Configure: &Configure{Base: 1, Configuration: testConfiguration(1)}})
+	refusal := o.apply(Record{Control: &Control{Plan: "x", Order: OrderConfirm}})
 	c.Assert(refusal, quicktest.IsNotNil)
 	c.Assert(refusal.Reason, quicktest.Equals, ReasonStale)
 	c.Assert(o.t.Plans.Get("x").State, quicktest.Equals, PlanProposed)
@@ -378,27 +384,29 @@
 func TestTwoOperatorsRaceAndOneWins(t *testing.T) {
 	c := quicktest.New(t)
 	o := newOracle()
-	first := o.add(Record{ID: "a", By: "o", Configure: &Configure{Base: 1, Configuration: testConfiguration(1)}})
-	second := o.add(Record{ID: "b", By: "o", Configure: &Configure{Base: 1, Configuration: testConfiguration(2)}})
-	again := o.add(Record{ID: "a", By: "o", Configure: &Configure{Base: 1, Configuration: testConfiguration(1)}})
+	first := o.apply(Record{ID: "a", By: "o", Configure: &Configure{Base: 1, Configuration: testConfiguration(1)}})
+	second := o.apply(Record{ID: "b", By: "o", Configure: &Configure{Base: 1, Configuration: testConfiguration(2)}})
+	again := o.apply(Record{ID: "a", By: "o", Configure: &Configure{Base: 1, Configuration: testConfiguration(1)}})
 	c.Assert(first == nil, quicktest.IsTrue)
 	c.Assert(second.Reason, quicktest.Equals, ReasonStale)
-	c.Assert(again == nil, quicktest.IsTrue) // the same record, read back after its answer was lost
+	c.Assert(again == nil, quicktest.IsTrue) // the same record again, as when its answer was lost
 	c.Assert(o.t.Version, quicktest.Equals, uint64(2))
 	c.Assert(o.t.Configuration.Weights.Moves, quicktest.Equals, 1.0)
 }
 
+// TestABadWorkerIsToldFromABadJob fails several jobs on one worker, which must be quarantined, and one job on several workers, which
+// must be parked while the workers stay in use.
 func TestABadWorkerIsToldFromABadJob(t *testing.T) {
 	c := quicktest.New(t)
 	o := newOracle()
 	run := func(job, instance string, outcome Outcome) {
 		j := o.t.Jobs.Get(job)
 		in := o.t.Instances.Get(instance)
-		admit(c, o, Record{Start: &Start{Job: job, Attempt: j.Attempt + 1, Instance: instance, Generation: in.Generation}})
-		admit(c, o, Record{Settle: &Settle{Job: job, Attempt: j.Attempt, Outcome: outcome}})
+		mustApply(c, o, Record{Start: &Start{Job: job, Attempt: j.Attempt + 1, Instance: instance, Generation: in.Generation}})
+		mustApply(c, o, Record{Settle: &Settle{Job: job, Attempt: j.Attempt, Outcome: outcome}})
 	}
 	for _, id := range [...]string{"g1", "g2", "g3", "bad"} {
-		admit(c, o, Record{Submit: &Submit{Team: "u", Spec: JobSpec{ID: id, Pool: "p", Cores: 1, Repeatable: true}}})
+		mustApply(c, o, Record{Submit: &Submit{Team: "u", Spec: JobSpec{ID: id, Pool: "p", Cores: 1, Repeatable: true}}})
 	}
 	for _, id := range [...]string{"g1", "g2", "g3"} {
 		run(id, "i0", OutcomeFailed)
@@ -425,7 +433,7 @@
 			return
 		}
 		o := newOracle()
-		o.t.Apply(o.offset, r) // whatever it says, the fold must not fail
+		o.t.Apply(o.offset, r) // the fold must not panic on any record
 		if _, err := o.t.Checkpoint(); err != nil {
 			t.Fatal(err)
 		}
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -4,63 +4,63 @@
 
 import "time"
 
-// InstanceState is where an instance stands between service and planned work.
+// InstanceState is the state of an instance with regard to service and planned work.
 type InstanceState string
 
 // States of an instance.
 const (
 	InstanceIdle     InstanceState = "idle"     // in no pool
 	InstanceServing  InstanceState = "serving"  // takes new work
-	InstanceDraining InstanceState = "draining" // finishes its work, takes none
-	InstanceDrained  InstanceState = "drained"  // every entry has acknowledged, nothing runs
+	InstanceDraining InstanceState = "draining" // finishes its work, takes no new work
+	InstanceDrained  InstanceState = "drained"  // every entry has acknowledged and nothing runs
 	InstanceActing   InstanceState = "acting"   // a platform command may be running
-	InstanceRetired  InstanceState = "retired"  // stopped for good
+	InstanceRetired  InstanceState = "retired"  // stopped permanently
 )
 
-// Instance is one worker machine as the fold knows it.
+// Instance is the fold's record of one worker machine.
 type Instance struct {
 	ID         string
 	DataCentre string
 	Rack       string
-	// Address is the IP address and port of the target that runs on the instance.
+	// Address is the IP address and port of the target on the instance.
 	Address  string
 	Cores    int
 	MemoryMB int
 
 	Pool  string
 	State InstanceState
-	// Generation grows with every take-out, return and assignment.
+	// Generation increases with every take-out, return and assignment.
 	Generation uint64
-	// Plan is the running plan that has taken the instance out, or empty.
+	// Plan is the plan that has taken the instance out, or empty.
 	Plan string
-	// DrainOffset is the record that took the instance out.
+	// DrainOffset is the offset of the record that took the instance out.
 	DrainOffset int64
-	// Command is the ID of the platform command of the last take-out.
+	// Command is the ID of the platform command for the last take-out.
 	Command string
-	// Maintained is when the instance was last maintained, by the clock of the entry that saw it.
+	// Maintained is when the instance was last maintained, by the clock of the entry that recorded it.
 	Maintained time.Time
 
-	// Down says that the platform does not report the instance as live.
+	// Down is set when the platform does not report the instance as live.
 	Down bool
-	// Leaving says that the platform will take the instance away.
+	// Leaving is set when the platform is going to remove the instance.
 	Leaving bool
-	// FailedJobs are the latest jobs that failed here in a row, without a success between them.
+	// FailedJobs are the jobs that have failed here since the last success.
 	FailedJobs []string
-	// Quarantined says that the instance gets no jobs until it has been maintained.
+	// Quarantined is set when the instance gets no jobs until it has been maintained.
 	Quarantined bool
 }
 
-// Available says that the instance can take work for its pool.
+// Available reports whether the instance can take work for its pool.
 func (i *Instance) Available() bool {
 	return i.State == InstanceServing && !i.Down && !i.Leaving
 }
 
-// Observe is the record of what the platform's instance list says, for the rows that changed.
+// Observe is the record of the rows that changed in the platform's instance list.
 type Observe struct {
 	Instances []Observation `cbor:"i"`
 }
 
-// Observation is the platform's view of one instance; without a DataCentre only Down and Leaving are news.
+// Observation is the platform's view of one instance. Without a DataCentre only Down and Leaving are updated.
 type Observation struct {
 	ID         string `cbor:"i"`
 	DataCentre string `cbor:"d,omitempty"`
@@ -96,7 +96,7 @@
 	}
 }
 
-// Differs says whether the observation would change the row, which may be nil.
+// Differs reports whether the observation would change the row, which may be nil.
 func (ob Observation) Differs(in *Instance) bool {
 	if in == nil {
 		return !ob.Down
--- a/fleet/job.go
+++ b/fleet/job.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// JobState is where a job stands.
+// JobState is the state of a job.
 type JobState string
 
 // States of a Job.
 const (
 	JobPending    JobState = "pending"
-	JobStarting   JobState = "starting"   // a start was decided; it may or may not have happened
+	JobStarting   JobState = "starting"   // a start was decided and may have happened
 	JobRunning    JobState = "running"    // the platform has confirmed the start
-	JobCancelling JobState = "cancelling" // cancelled; charged until the platform says that it stopped
+	JobCancelling JobState = "cancelling" // cancelled, and charged until the platform reports that it has stopped
 	JobDone       JobState = "done"
 	JobFailed     JobState = "failed"
-	JobParked     JobState = "parked" // it can never run as it is; Note says why
+	JobParked     JobState = "parked" // it can never run as specified; Note says why
 	JobCancelled  JobState = "cancelled"
 )
 
-// Ended says that the job changes no more.
+// Ended reports whether the state is final.
 func (s JobState) Ended() bool {
 	return s == JobDone || s == JobFailed || s == JobParked || s == JobCancelled
 }
 
-// Held says that the job holds cores on an instance.
+// Held reports whether a job in this state holds resources on an instance.
 func (s JobState) Held() bool {
 	return s == JobStarting || s == JobRunning || s == JobCancelling
 }
 
-// JobSpec is what a caller asks for; it never changes.
+// JobSpec is the caller's specification of a job. It never changes.
 type JobSpec struct {
 	ID       string `json:"id"`
 	Pool     string `json:"pool"`
 	Cores    int    `json:"cores"`
 	MemoryMB int    `json:"memory_mb"`
-	// RunTime is the caller's estimate; it is often far off.
+	// RunTime is the caller's estimate, which is often far off.
 	RunTime Duration `json:"run_time"`
-	// DataCentres are the only places where the job may run; all when empty.
+	// DataCentres are the only data centres in which the job may run; all when empty.
 	DataCentres []string `json:"data_centres,omitempty"`
-	// Repeatable allows a second run after a failed or lost one.
+	// Repeatable allows another run after a failed or lost one.
 	Repeatable bool `json:"repeatable"`
 	Urgent     bool `json:"urgent"`
-	// Command is handed to the platform as it is.
+	// Command is passed to the platform unchanged.
 	Command string `json:"command"`
 }
 
-// Job is one piece of work for a worker.
+// Job is a submitted job and its state.
 type Job struct {
 	ID       string
 	Spec     JobSpec
@@ -57,19 +57,19 @@
 	State    JobState
 	Attempt  int
 	Instance string
-	// FailedOn are the instances where the job failed.
+	// FailedOn are the instances on which the job has failed.
 	FailedOn []string
-	// Moves counts the times that planned work displaced the job.
+	// Moves counts how often the job was stopped with a checkpoint to continue elsewhere.
 	Moves int
-	// Checkpointed says that the next start continues the earlier run.
+	// Checkpointed is set when the next start continues from a checkpoint of an earlier attempt.
 	Checkpointed bool
-	// Yielding says that the job is to leave its instance, for an urgent one or because too much is in use there.
+	// Yielding is set when the job is to leave its instance, for an urgent job or because the instance is overloaded.
 	Yielding bool
-	// Used is what the platform reported of the latest attempt that it measured; zero before.
+	// Used is what the platform reported for the latest attempt that it measured; zero before.
 	Used Use
-	// Limit is the number of cores that the job is held to; none when 0.
+	// Limit is the number of cores to which the job is throttled; unlimited when 0.
 	Limit int
-	// Ran is how long the attempts ran whose progress was kept.
+	// Ran is the total run time of the attempts that ended with a checkpoint.
 	Ran  time.Duration
 	Note string
 	// Changed is the offset of the latest change.
@@ -82,16 +82,16 @@
 	Spec JobSpec `cbor:"s"`
 }
 
-// Start is the record that a job is to be started on an instance.
+// Start is the record of the decision to start a job on an instance.
 type Start struct {
 	Job      string `cbor:"j"`
 	Attempt  int    `cbor:"a"`
 	Instance string `cbor:"i"`
-	// Generation is the instance's generation that the placement saw.
+	// Generation is the instance's generation that the placement was based on.
 	Generation uint64 `cbor:"g"`
 }
 
-// Outcome is what the platform says of one attempt.
+// Outcome is what the platform reports about one attempt.
 type Outcome string
 
 // Outcomes of an attempt.
@@ -99,40 +99,40 @@
 	OutcomeRunning      Outcome = "running"
 	OutcomeDone         Outcome = "done"
 	OutcomeFailed       Outcome = "failed"
-	OutcomeNotStarted   Outcome = "not-started"  // the platform proves that it never ran and never will
-	OutcomeCheckpointed Outcome = "checkpointed" // stopped with its progress kept
+	OutcomeNotStarted   Outcome = "not-started"  // the platform guarantees that it has not run and never will
+	OutcomeCheckpointed Outcome = "checkpointed" // stopped with its progress saved
 	OutcomeStopped      Outcome = "stopped"
 )
 
-// Settle is the record of what the platform says about an attempt.
+// Settle is the record of what the platform reports about an attempt.
 type Settle struct {
 	Job     string  `cbor:"j"`
 	Attempt int     `cbor:"a"`
 	Outcome Outcome `cbor:"o"`
-	// Ran is how long the attempt ran, if the platform has told.
+	// Ran is how long the attempt ran, if the platform has reported it.
 	Ran time.Duration `cbor:"r,omitempty"`
 }
 
-// Cancel is the record that a caller no longer wants a job.
+// Cancel is the record of a caller's request to cancel a job.
 type Cancel struct {
 	Job  string `cbor:"j"`
 	Team string `cbor:"t"`
 }
 
-// Park is the record that no instance can ever run a pending job as it is.
+// Park is the record that no instance can ever run a pending job as specified.
 type Park struct {
 	Job     string `cbor:"j"`
 	Attempt int    `cbor:"a"`
 	Note    string `cbor:"n"`
 }
 
-// Yield is the record that a running job is to make room on its instance, for an urgent one or because too much is in use.
+// Yield is the record that a running job is to leave its instance, for an urgent job or because the instance is overloaded.
 type Yield struct {
 	Job     string `cbor:"j"`
 	Attempt int    `cbor:"a"`
 }
 
-// Failures that tell a bad worker from a bad job.
+// Thresholds that distinguish a faulty worker, on which several jobs fail, from a faulty job, which fails on several workers.
 const (
 	failedJobsToQuarantine = 3
 	failedWorkersToPark    = 3
@@ -156,10 +156,11 @@
 func (j JobSpec) equal(o JobSpec) bool {
 	a, b := j, o
 	a.DataCentres, b.DataCentres = nil, nil
-	return slices.Equal(j.DataCentres, o.DataCentres) && a.scalar() == b.scalar()
+	return slices.Equal(j.DataCentres, o.DataCentres) && a.scalarFields() == b.scalarFields()
 }
 
-func (j JobSpec) scalar() any {
+// scalarFields returns the fields other than DataCentres as a comparable value.
+func (j JobSpec) scalarFields() any {
 	return struct {
 		id, pool, command  string
 		cores, memory      int
@@ -182,9 +183,9 @@
 	return nil
 }
 
-// pruneJobs forgets the job that ended longest ago when too many are kept.
+// pruneJobs deletes the job that ended longest ago when more than maxFinishedJobs ended jobs are stored.
 func (t *Tables) pruneJobs() {
-	if t.ended <= maxFinishedJobs {
+	if t.endedJobs <= maxFinishedJobs {
 		return
 	}
 	oldest := ""
@@ -195,7 +196,7 @@
 		}
 	}
 	t.Jobs.Delete(oldest)
-	t.ended--
+	t.endedJobs--
 }
 
 func (t *Tables) start(s Start) *Refusal {
@@ -212,11 +213,11 @@
 	}
 	j.Attempt = s.Attempt
 	j.Changed = t.Offset
-	t.put(j, JobStarting, s.Instance)
+	t.setJobState(j, JobStarting, s.Instance)
 	return nil
 }
 
-// StartRefusal says why the pending job must not start on the instance, or returns nil.
+// StartRefusal returns the refusal for starting the pending job on the instance, or nil if it may start.
 func (t *Tables) StartRefusal(j *Job, in *Instance, generation uint64) *Refusal {
 	const remedy = "choose another instance"
 	switch {
@@ -239,7 +240,7 @@
 	return nil
 }
 
-// MayRunIn says whether the job's residency allows the data centre.
+// MayRunIn reports whether the job may run in the data centre.
 func (j *Job) MayRunIn(dataCentre string) bool {
 	return len(j.Spec.DataCentres) == 0 || slices.Contains(j.Spec.DataCentres, dataCentre)
 }
@@ -256,20 +257,20 @@
 	in := t.Instances.Get(j.Instance)
 	switch s.Outcome {
 	case OutcomeRunning:
-		t.put(j, JobRunning, j.Instance)
+		t.setJobState(j, JobRunning, j.Instance)
 	case OutcomeDone:
-		t.learnRunTime(j, j.Ran+s.Ran)
-		t.put(j, JobDone, j.Instance)
+		t.updateRunTime(j, j.Ran+s.Ran)
+		t.setJobState(j, JobDone, j.Instance)
 		if in != nil {
 			in.FailedJobs = nil
 		}
 	case OutcomeNotStarted:
-		t.release(j)
+		t.requeue(j)
 	case OutcomeCheckpointed:
 		j.Checkpointed = true
 		j.Moves++
 		j.Ran += max(0, s.Ran)
-		t.release(j)
+		t.requeue(j)
 	case OutcomeStopped:
 		t.stopped(j)
 	case OutcomeFailed:
@@ -278,46 +279,48 @@
 	return nil
 }
 
-// release makes the job pending again, unless it was cancelled.
-func (t *Tables) release(j *Job) {
+// requeue makes the job pending again, or cancelled if it is being cancelled.
+func (t *Tables) requeue(j *Job) {
 	j.Yielding = false
 	t.recharge(j, func() { j.Limit = 0 })
 	if j.State == JobCancelling {
-		t.put(j, JobCancelled, "")
+		t.setJobState(j, JobCancelled, "")
 		return
 	}
-	t.put(j, JobPending, "")
+	t.setJobState(j, JobPending, "")
 }
 
 func (t *Tables) stopped(j *Job) {
 	if j.State == JobCancelling {
-		t.release(j)
+		t.requeue(j)
 		return
 	}
-	t.endOrRepeat(j, "it was stopped and may not be repeated")
+	t.failOrRetry(j, "it was stopped and may not be repeated")
 }
 
-func (t *Tables) endOrRepeat(j *Job, note string) {
+// failOrRetry requeues the job if it is repeatable or being cancelled, and otherwise fails it with the note.
+func (t *Tables) failOrRetry(j *Job, note string) {
 	if j.State == JobCancelling || j.Spec.Repeatable {
-		t.release(j)
+		t.requeue(j)
 		return
 	}
 	j.Note = note
-	t.put(j, JobFailed, "")
+	t.setJobState(j, JobFailed, "")
 }
 
 func (t *Tables) failed(j *Job, in *Instance) {
 	if in != nil {
-		t.blame(j, in)
+		t.recordFailure(j, in)
 	}
-	t.endOrRepeat(j, "it failed and may not be repeated")
-	if j.State == JobPending && t.soundFailures(j) >= failedWorkersToPark {
-		t.put(j, JobParked, "")
+	t.failOrRetry(j, "it failed and may not be repeated")
+	if j.State == JobPending && t.failuresOnHealthyWorkers(j) >= failedWorkersToPark {
+		t.setJobState(j, JobParked, "")
 		j.Note = "it failed on every worker that it was started on, and other jobs succeed there"
 	}
 }
 
-func (t *Tables) blame(j *Job, in *Instance) {
+// recordFailure records that the job failed on the instance, and quarantines the instance after too many failed jobs.
+func (t *Tables) recordFailure(j *Job, in *Instance) {
 	if !slices.Contains(j.FailedOn, in.ID) {
 		j.FailedOn = append(j.FailedOn, in.ID)
 	}
@@ -329,8 +332,8 @@
 	}
 }
 
-// soundFailures counts the workers that failed the job and are not quarantined themselves.
-func (t *Tables) soundFailures(j *Job) int {
+// failuresOnHealthyWorkers counts the workers on which the job has failed and that are not quarantined.
+func (t *Tables) failuresOnHealthyWorkers(j *Job) int {
 	n := 0
 	for _, id := range j.FailedOn {
 		if in := t.Instances.Get(id); in != nil && !in.Quarantined {
@@ -349,9 +352,9 @@
 	case j.State.Ended(), j.State == JobCancelling:
 		return nil
 	case j.State == JobPending:
-		t.put(j, JobCancelled, "")
+		t.setJobState(j, JobCancelled, "")
 	default:
-		t.put(j, JobCancelling, j.Instance)
+		t.setJobState(j, JobCancelling, j.Instance)
 	}
 	j.Changed = t.Offset
 	return nil
@@ -363,7 +366,7 @@
 		return refuse(ReasonStale, "nothing is to be done", "job %s is not pending at attempt %d", p.Job, p.Attempt)
 	}
 	j.Note, j.Changed = p.Note, t.Offset
-	t.put(j, JobParked, "")
+	t.setJobState(j, JobParked, "")
 	return nil
 }
 
--- a/fleet/main_test.go
+++ b/fleet/main_test.go
@@ -9,7 +9,7 @@
 	"rackstep.dev/internal/seed"
 )
 
-// TestMain runs the fold's machine often enough that every rule, when it is left out, is found.
+// TestMain fixes rapid's seed and sets enough checks that the removal of any single rule of the fold is detected.
 func TestMain(m *testing.M) {
 	seed.Fix(1500)
 	os.Exit(m.Run())
--- a/fleet/measure.go
+++ b/fleet/measure.go
@@ -4,29 +4,29 @@
 
 import "time"
 
-// Use is what a job takes of its instance.
+// Use is the resources that a job uses on its instance.
 type Use struct {
 	Cores    int
 	MemoryMB int
 }
 
-// Measure is the record of what a running attempt uses, because what its caller declared is far from it.
+// Measure is the record of what a running attempt uses. It is written when that differs much from what the caller declared.
 type Measure struct {
 	Job     string `cbor:"j"`
 	Attempt int    `cbor:"a"`
-	// Cores and MemoryMB are what the platform reported, with a margin; both replace what was declared.
+	// Cores and MemoryMB are what the platform reported, plus a margin. They replace the declared values.
 	Cores    int `cbor:"c"`
 	MemoryMB int `cbor:"m,omitempty"`
 }
 
-// Throttle is the record that a running job may use no more than some cores; it may use all again when Cores is 0.
+// Throttle is the record that limits a running job to a number of cores, or lifts the limit when Cores is 0.
 type Throttle struct {
 	Job     string `cbor:"j"`
 	Attempt int    `cbor:"a"`
 	Cores   int    `cbor:"c,omitempty"`
 }
 
-// Charged returns what the job is taken to use: what was measured, else what was declared, within its throttle.
+// Charged returns the resources that are accounted to the job: those measured, or else those declared, limited by its throttle.
 func (j *Job) Charged() Use {
 	u := Use{j.Spec.Cores, j.Spec.MemoryMB}
 	if j.Used.Cores > 0 {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// runningAttempt returns the job if it runs the attempt now.
+// runningAttempt returns the job if the attempt is its current one and is running.
 func (t *Tables) runningAttempt(job string, attempt int) (*Job, *Refusal) {
 	j := t.Jobs.Get(job)
 	if j == nil || j.Attempt != attempt || j.State != JobRunning {
@@ -72,44 +72,45 @@
 	return j, nil
 }
 
-// RunTime is what a pool's jobs have shown about the run times that their callers declare.
+// RunTime is the learned ratio of actual to declared run times of a pool's jobs.
 type RunTime struct {
 	Pool string
-	// Percent of the declared run time is what three jobs in four do not exceed.
+	// Percent estimates the third quartile of the ratio: three jobs in four run no longer than this percentage of their
+	// declared run time.
 	Percent int
 }
 
-// Bounds and steps of RunTime.Percent; a step up is three times a step down, which leads to the third quartile.
+// Bounds and step sizes of RunTime.Percent. A step up is three times a step down, so that the value converges to the third quartile.
 const (
-	firstPercent = 200
-	leastPercent = 50
-	mostPercent  = 1600
-	upPercent    = 6
-	downPercent  = 2
+	initialRunTimePercent = 200
+	minRunTimePercent     = 50
+	maxRunTimePercent     = 1600
+	percentStepUp         = 6
+	percentStepDown       = 2
 )
 
-// RunTimeMargin returns the factor by which the pool's declared run times are to be multiplied.
+// RunTimeMargin returns the factor by which to multiply the declared run times of the pool's jobs.
 func (t *Tables) RunTimeMargin(pool string) float64 {
 	if r := t.RunTimes.Get(pool); r != nil {
 		return float64(r.Percent) / 100
 	}
-	return float64(firstPercent) / 100
+	return float64(initialRunTimePercent) / 100
 }
 
-// learnRunTime moves the pool's margin towards what the ended job has shown.
-func (t *Tables) learnRunTime(j *Job, ran time.Duration) {
+// updateRunTime adjusts the pool's ratio by the run time of a completed job.
+func (t *Tables) updateRunTime(j *Job, ran time.Duration) {
 	declared := j.Spec.RunTime.Std()
 	if declared <= 0 || ran <= 0 {
 		return
 	}
 	r := t.RunTimes.Get(j.Spec.Pool)
 	if r == nil {
-		r = t.RunTimes.Put(j.Spec.Pool, RunTime{Pool: j.Spec.Pool, Percent: firstPercent})
+		r = t.RunTimes.Put(j.Spec.Pool, RunTime{Pool: j.Spec.Pool, Percent: initialRunTimePercent})
 	}
 	if float64(ran)*100 > float64(declared)*float64(r.Percent) {
-		r.Percent += max(1, r.Percent*upPercent/100)
+		r.Percent += max(1, r.Percent*percentStepUp/100)
 	} else {
-		r.Percent -= max(1, r.Percent*downPercent/100)
+		r.Percent -= max(1, r.Percent*percentStepDown/100)
 	}
-	r.Percent = min(mostPercent, max(leastPercent, r.Percent))
+	r.Percent = min(maxRunTimePercent, max(minRunTimePercent, r.Percent))
 }
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -9,19 +9,19 @@
 	"rackstep.dev/org"
 )
 
-// milliCores is how many thousandths a core has.
-const milliCores = 1000
+// milliCPUPerCore converts cores to thousandths of a core.
+const milliCPUPerCore = 1000
 
-// Organisation returns the team as what it is to everything that admits callers and shares instances.
+// Organisation returns the organisation by which the team's callers are admitted and its share of instances is determined.
 func (t *Team) Organisation() org.Organisation {
-	o := org.Organisation{Name: t.Name, Weight: float64(max(1, t.Share)), Cap: job.Need{MilliCPU: t.JobCores * milliCores}}
-	if d, err := org.ParseDigest(t.TokenHash); err == nil { // a configuration with another hash is refused
+	o := org.Organisation{Name: t.Name, Weight: float64(max(1, t.Share)), Cap: job.Need{MilliCPU: t.JobCores * milliCPUPerCore}}
+	if d, err := org.ParseDigest(t.TokenHash); err == nil { // Check refuses configurations with an invalid hash
 		o.Keys = []org.Digest{d}
 	}
 	return o
 }
 
-// Organisations returns the directory of the teams. Of teams that have one token the last has it.
+// Organisations returns the directory of the teams. If several teams have the same token, it belongs to the last one.
 func (c *Configuration) Organisations() (*org.Directory, error) {
 	rows := make([]org.Organisation, len(c.Teams))
 	owner := make(map[org.Digest]int, len(c.Teams))
@@ -41,15 +41,17 @@
 	return d, nil
 }
 
-// need is what a job is charged with.
-func (u Use) need() job.Need { return job.Need{MilliCPU: u.Cores * milliCores, MemoryMB: u.MemoryMB} }
+// need returns u as a job.Need.
+func (u Use) need() job.Need {
+	return job.Need{MilliCPU: u.Cores * milliCPUPerCore, MemoryMB: u.MemoryMB}
+}
 
-// MayHold says whether the team may hold that many cores more for its jobs.
+// MayHold reports whether the team's quota allows its jobs to hold that many more cores.
 func (t *Tables) MayHold(team *Team, cores int) bool {
 	if team == nil {
 		return true
 	}
-	held, _ := t.teams.Held(team.Name)
+	held, _ := t.teamUsage.Held(team.Name)
 	o := team.Organisation()
-	return o.Covers(job.Need{MilliCPU: held.MilliCPU + cores*milliCores})
+	return o.Covers(job.Need{MilliCPU: held.MilliCPU + cores*milliCPUPerCore})
 }
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// Intent is what an operator wants; exactly one kind of it.
+// Intent is an operator's request for planned work of one kind.
 type Intent struct {
 	Kind IntentKind `json:"kind"`
 	// Rack is set for IntentEmptyRack.
 	Rack string `json:"rack,omitempty"`
-	// DataCentre is set for IntentEmptyDataCentre and narrows IntentEmptyRack.
+	// DataCentre is set for IntentEmptyDataCentre and optionally restricts IntentEmptyRack.
 	DataCentre string `json:"data_centre,omitempty"`
-	// Pool is the pool to maintain, or the target of a move.
+	// Pool is the pool to maintain, or the destination of a move.
 	Pool string `json:"pool,omitempty"`
 	// Instances are set for IntentMove and IntentReplace.
 	Instances []string `json:"instances,omitempty"`
-	// Hold keeps the instances out, drained, until an operator orders their return; for IntentEmptyRack and IntentEmptyDataCentre.
+	// Hold keeps the drained instances out of service until an operator orders their return; for IntentEmptyRack and
+	// IntentEmptyDataCentre.
 	Hold bool `json:"hold,omitempty"`
 	// NotSince limits IntentMaintain to instances that were last maintained before it.
 	NotSince time.Time `json:"not_since,omitzero"`
 }
 
-// IntentKind tells intents apart.
+// IntentKind is the kind of an intent.
 type IntentKind string
 
 // Kinds of an Intent.
 const (
 	IntentEmptyRack       IntentKind = "empty-rack"        // maintain every instance of a rack
-	IntentEmptyDataCentre IntentKind = "empty-data-centre" // take a data centre out
+	IntentEmptyDataCentre IntentKind = "empty-data-centre" // maintain every instance of a data centre
 	IntentMaintain        IntentKind = "maintain"          // maintain a pool, or all pools
 	IntentMove            IntentKind = "move"              // move instances to a pool
-	IntentReplace         IntentKind = "replace"           // stop instances for good
+	IntentReplace         IntentKind = "replace"           // stop instances permanently
 )
 
-// Action is what a step does to its instance once it is drained.
+// Action is what a step does with its instance once the instance is drained.
 type Action string
 
 // Actions of a Step.
 const (
 	ActionReboot Action = "reboot" // reboot and return to the same pool
 	ActionMove   Action = "move"   // release and assign to another pool
-	ActionStop   Action = "stop"   // stop for good
+	ActionStop   Action = "stop"   // stop permanently
 	ActionHold   Action = "hold"   // stay out until an operator orders the return
 )
 
-// PlanState is where a plan stands.
+// PlanState is the state of a plan.
 type PlanState string
 
 // States of a Plan.
@@ -55,11 +56,11 @@
 	PlanProposed  PlanState = "proposed"
 	PlanRunning   PlanState = "running"
 	PlanPaused    PlanState = "paused"
-	PlanCancelled PlanState = "cancelled" // what was taken out is returned, acting steps end
+	PlanCancelled PlanState = "cancelled" // draining and drained instances return to service, acting steps are completed
 	PlanDone      PlanState = "done"
 )
 
-// StepState is where a step of a plan stands.
+// StepState is the state of a step of a plan.
 type StepState string
 
 // States of a Step.
@@ -73,7 +74,7 @@
 	StepSkipped  StepState = "skipped"  // cancelled before its take-out
 )
 
-// Ended says that the step changes no more.
+// Ended reports whether the state is final.
 func (s StepState) Ended() bool {
 	return s == StepDone || s == StepReturned || s == StepSkipped
 }
@@ -88,50 +89,50 @@
 	State    StepState
 }
 
-// Left is an instance that a plan could not include.
+// Left is an instance that could not be included in a plan, with the reason.
 type Left struct {
 	Instance string
 	Reason   string
 }
 
-// Estimate is what a plan is expected to cost, beside the bound that no plan can beat.
+// Estimate is the expected cost of a plan, with lower bounds that no plan can beat.
 type Estimate struct {
 	RollOut, RollOutBound time.Duration
 	Moves, MovesBound     int
-	// Buffer is the most instances that are out at once.
+	// Buffer is the largest number of instances that are out at once.
 	Buffer, BufferBound int
 }
 
-// Plan is the answer to an intent.
+// Plan is a set of steps, grouped into waves, that carries out an intent.
 type Plan struct {
 	ID     string
 	By     string
 	Intent Intent
-	// Base is the version of the configuration that the plan was made from.
+	// Base is the version of the configuration that the plan is based on.
 	Base     uint64
 	State    PlanState
 	Waves    int
 	Steps    []Step
 	Left     []Left
 	Estimate Estimate
-	// Release says that an operator has ordered the return of held instances.
+	// Release is set when an operator has ordered the return of held instances.
 	Release bool
-	// Ended is the offset at which the plan was done or cancelled, 0 before.
+	// Ended is the offset at which the plan's last step ended, 0 before.
 	Ended int64
 }
 
-// Active says that the plan may still change instances.
+// Active reports whether the plan may still change instances.
 func (p *Plan) Active() bool {
 	switch p.State {
 	case PlanRunning, PlanPaused:
 		return true
 	case PlanCancelled:
-		return p.open()
+		return p.hasOpenSteps()
 	}
 	return false
 }
 
-func (p *Plan) open() bool {
+func (p *Plan) hasOpenSteps() bool {
 	for i := range p.Steps {
 		if !p.Steps[i].State.Ended() {
 			return true
@@ -145,10 +146,10 @@
 	Plan Plan `cbor:"p"`
 }
 
-// Order is what an operator tells a plan to do.
+// Order is an operator's command for a plan.
 type Order string
 
-// Orders to a plan.
+// Orders for a plan.
 const (
 	OrderConfirm Order = "confirm"
 	OrderPause   Order = "pause"
@@ -157,7 +158,7 @@
 	OrderReturn  Order = "return" // held instances return to service
 )
 
-// Control is the record of an operator's order to a plan.
+// Control is the record of an operator's order for a plan.
 type Control struct {
 	Plan  string `cbor:"p"`
 	Order Order  `cbor:"o"`
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// prunePlans forgets the oldest plans that can change nothing any more.
+// prunePlans deletes inactive plans, in the order of their IDs, while more than maxFinishedPlans plans are stored.
 func (t *Tables) prunePlans() {
 	for t.Plans.Len() > maxFinishedPlans {
 		oldest := ""
@@ -205,9 +206,9 @@
 	case OrderConfirm:
 		return t.confirm(p)
 	case OrderPause:
-		return t.turn(p, PlanRunning, PlanPaused)
+		return t.changePlanState(p, PlanRunning, PlanPaused)
 	case OrderResume:
-		return t.turn(p, PlanPaused, PlanRunning)
+		return t.changePlanState(p, PlanPaused, PlanRunning)
 	case OrderCancel:
 		return t.cancelPlan(p)
 	case OrderReturn:
@@ -216,7 +217,7 @@
 	return refuse(ReasonInvalid, "use confirm, pause, resume, cancel or return", "order %q is not known", c.Order)
 }
 
-// returnHeld lets the held instances of the plan return; those that still wait are not taken out any more.
+// returnHeld lets the plan's held instances return to service. Instances that still wait are no longer taken out.
 func (t *Tables) returnHeld(p *Plan) *Refusal {
 	if !p.Active() || !p.Intent.Hold || p.Release {
 		return refuse(ReasonState, "look at 'rackstep status'", "plan %s is %s and holds nothing that could return", p.ID, p.State)
@@ -226,7 +227,7 @@
 	return nil
 }
 
-func (t *Tables) turn(p *Plan, from, to PlanState) *Refusal {
+func (t *Tables) changePlanState(p *Plan, from, to PlanState) *Refusal {
 	if p.State != from {
 		return refuse(ReasonState, "look at 'rackstep status'", "plan %s is %s, not %s", p.ID, p.State, from)
 	}
@@ -248,18 +249,18 @@
 		if in == nil || in.Pool != s.From {
 			return refuse(ReasonStale, remedy, "instance %s is no longer in pool %q", s.Instance, s.From)
 		}
-		if owner := t.planOf(s.Instance); owner != "" {
+		if owner := t.activePlanFor(s.Instance); owner != "" {
 			return refuse(ReasonOccupied, "wait for that plan or cancel it, then ask for a new plan",
 				"instance %s belongs to plan %s", s.Instance, owner)
 		}
 	}
 	p.State = PlanRunning
-	t.finish(p)
+	t.finishIfComplete(p)
 	return nil
 }
 
-// planOf returns the active plan that has a step left for the instance, or an empty string.
-func (t *Tables) planOf(instance string) string {
+// activePlanFor returns the active plan that has an unfinished step for the instance, or an empty string.
+func (t *Tables) activePlanFor(instance string) string {
 	for id, p := range t.Plans.All {
 		if !p.Active() {
 			continue
@@ -282,19 +283,19 @@
 	return nil
 }
 
-// skipWaiting ends the steps whose instances are still in service.
+// skipWaiting skips the steps whose instances have not been taken out.
 func (t *Tables) skipWaiting(p *Plan) {
 	for i := range p.Steps {
 		if p.Steps[i].State == StepWaiting {
 			p.Steps[i].State = StepSkipped
 		}
 	}
-	t.finish(p)
+	t.finishIfComplete(p)
 }
 
-// finish marks the plan's end once no step is open.
-func (t *Tables) finish(p *Plan) {
-	if p.State == PlanProposed || p.open() {
+// finishIfComplete ends the plan once all its steps have ended.
+func (t *Tables) finishIfComplete(p *Plan) {
+	if p.State == PlanProposed || p.hasOpenSteps() {
 		return
 	}
 	if p.State != PlanCancelled {
@@ -303,7 +304,7 @@
 	p.Ended = t.Offset
 }
 
-// Clone returns a copy that shares nothing with the plan.
+// Clone returns a deep copy of the plan.
 func (p *Plan) Clone() *Plan {
 	c := *p
 	c.Steps = slices.Clone(p.Steps)
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -9,15 +9,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Record is one entry of the fleet log; exactly one of its bodies is set.
+// Record is one record of the fleet log. Exactly one of its bodies is set.
 type Record struct {
-	// ID is chosen by the writer, who waits for it when an append's answer is lost.
+	// ID is chosen by the writer, which looks for it in the log when the answer to the append is lost.
 	ID string `cbor:"i"`
 	// Writer is the entry that appended the record.
 	Writer string `cbor:"w,omitempty"`
 	// By is the operator or team on whose behalf the record was written.
 	By string `cbor:"b,omitempty"`
-	// Time is the writer's clock; it is shown and never compared.
+	// Time is the time by the writer's clock. Records are never ordered by it.
 	Time time.Time `cbor:"t"`
 
 	Configure  *Configure  `cbor:"cf,omitempty"`
@@ -38,17 +38,17 @@
 	Checkpoint *Checkpoint `cbor:"ck,omitempty"`
 }
 
-// Checkpoint carries the tables forward so that older records may be dropped by the log.
+// Checkpoint is the record of the whole tables. It allows the log to drop older records.
 type Checkpoint struct {
-	// Offset is the last record that the tables include.
+	// Offset is the offset of the last record included in the tables.
 	Offset int64 `cbor:"o"`
 	// Tables is the output of Tables.Checkpoint.
 	Tables []byte `cbor:"t"`
 }
 
-var encoder, decoder = codecs()
+var encoder, decoder = newCodecs()
 
-func codecs() (cbor.EncMode, cbor.DecMode) {
+func newCodecs() (cbor.EncMode, cbor.DecMode) {
 	opts := cbor.CanonicalEncOptions()
 	opts.Time = cbor.TimeUnixMicro
 	enc, err := opts.EncMode()
@@ -62,7 +62,7 @@
 	return enc, dec
 }
 
-// Encode returns the record's bytes for the log.
+// Encode returns the encoding of the record for the log.
 func (r Record) Encode() ([]byte, error) {
 	b, err := encoder.Marshal(r)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return b, nil
 }
 
-// DecodeRecord reads bytes that Encode wrote; it fails on anything else.
+// DecodeRecord decodes the output of Encode.
 func DecodeRecord(b []byte) (Record, error) {
 	var r Record
 	if err := decoder.Unmarshal(b, &r); err != nil {
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -4,7 +4,7 @@
 
 import "slices"
 
-// Table holds rows of one entity by ID, in an order that depends only on the operations applied.
+// Table holds rows by ID and iterates over them in the order of their IDs, so that all entries iterate alike.
 type Table[R any] struct {
 	ids  []string // in order
 	rows map[string]*R
@@ -13,10 +13,10 @@
 // Len returns the number of rows.
 func (t *Table[R]) Len() int { return len(t.rows) }
 
-// Get returns the row with the ID, or nil; the caller must not keep it across a Put or Delete.
+// Get returns the row with the ID, or nil. The caller must not use the pointer after a Put or Delete.
 func (t *Table[R]) Get(id string) *R { return t.rows[id] }
 
-// Put stores the row under the ID and replaces the one that was there.
+// Put stores the row under the ID, replacing any existing one, and returns a pointer to the stored row.
 func (t *Table[R]) Put(id string, row R) *R {
 	if t.rows == nil {
 		t.rows = make(map[string]*R)
@@ -31,7 +31,7 @@
 	return &row
 }
 
-// Delete removes the row with the ID, if there is one.
+// Delete removes the row with the ID, if any.
 func (t *Table[R]) Delete(id string) {
 	if t.rows[id] == nil {
 		return
@@ -41,7 +41,7 @@
 	t.ids = slices.Delete(t.ids, i, i+1)
 }
 
-// All calls yield for each row in the order of the IDs until it returns false; yield must not Put or Delete.
+// All iterates over the rows in the order of their IDs. The loop body must not call Put or Delete.
 func (t *Table[R]) All(yield func(id string, row *R) bool) {
 	for _, id := range t.ids {
 		if !yield(id, t.rows[id]) {
--- a/fleet/tables.go
+++ b/fleet/tables.go
@@ -10,9 +10,9 @@
 	"rackstep.dev/org"
 )
 
-// Tables is the state that all entries agree on; the zero value is the state before the first record.
+// Tables is the state that all entries agree on. New returns the state before the first record.
 type Tables struct {
-	// Offset is the last record folded, -1 before the first.
+	// Offset is the offset of the last record applied, -1 before the first.
 	Offset int64
 	// Version counts the accepted configurations.
 	Version uint64
@@ -23,21 +23,21 @@
 	Entries       Table[Entry]
 	Plans         Table[Plan]
 	Jobs          Table[Job]
-	// RunTimes are what jobs have shown about declared run times, by pool.
+	// RunTimes are the learned ratios of actual to declared run times, by pool.
 	RunTimes Table[RunTime]
-	// Results are the latest outcomes of operators' and callers' records, oldest first.
+	// Results are the latest results of operators' and callers' records, oldest first.
 	Results []Result
 	// Checkpointed is the offset of the newest checkpoint seen in the log.
 	Checkpointed int64
 
-	// onInstance and teams are what jobs hold, by instance and by team.
-	onInstance map[string]usage
-	teams      org.Ledger
-	// ended is the number of jobs that have ended.
-	ended int
+	// usageByInstance and teamUsage are the resources that jobs hold, by instance and by team.
+	usageByInstance map[string]usage
+	teamUsage       org.Ledger
+	// endedJobs is the number of jobs that have ended.
+	endedJobs int
 }
 
-// Result is what became of a record that somebody may ask about.
+// Result is the stored result of a record that was written on behalf of an operator or a team.
 type Result struct {
 	ID      string
 	Offset  int64
@@ -45,7 +45,7 @@
 	Refusal *Refusal
 }
 
-// Bounds of what the tables keep about the past.
+// Limits of the history kept in the tables.
 const (
 	maxResults       = 512
 	maxFinishedPlans = 64
@@ -55,9 +55,9 @@
 // New returns the tables before the first record.
 func New() *Tables { return &Tables{Offset: -1, Published: -1, Checkpointed: -1} }
 
-// Apply folds the record at the offset and returns why it was refused, or nil.
+// Apply applies the record at the offset and returns the refusal, or nil if the record was admitted.
 //
-// A record at an offset that is already folded changes nothing.
+// A record at an offset that was already applied changes nothing.
 func (t *Tables) Apply(offset int64, r Record) *Refusal {
 	if offset <= t.Offset {
 		return nil
@@ -70,7 +70,7 @@
 	}
 	refusal := t.dispatch(r)
 	if r.By != "" {
-		t.remember(Result{ID: r.ID, Offset: offset, Version: t.Version, Refusal: refusal})
+		t.addResult(Result{ID: r.ID, Offset: offset, Version: t.Version, Refusal: refusal})
 	}
 	return refusal
 }
@@ -114,7 +114,7 @@
 	return refuse(ReasonUnreadable, "upgrade this entry to the version that wrote it", "record %s has no body known here", r.ID)
 }
 
-// Result returns the remembered outcome of the record with the ID, or nil.
+// Result returns the stored result of the record with the ID, or nil.
 func (t *Tables) Result(id string) *Result {
 	for i := range t.Results {
 		if t.Results[i].ID == id {
@@ -124,14 +124,14 @@
 	return nil
 }
 
-func (t *Tables) remember(r Result) {
+func (t *Tables) addResult(r Result) {
 	t.Results = append(t.Results, r)
 	if n := len(t.Results) - maxResults; n > 0 {
 		t.Results = append([]Result(nil), t.Results[n:]...)
 	}
 }
 
-// image is the form in which tables travel: plain rows in the order of their IDs.
+// image is the encoded form of the tables: plain rows in the order of their IDs.
 type image struct {
 	Offset, Published, Checkpointed int64
 	Version                         uint64
@@ -144,7 +144,7 @@
 	Results                         []Result
 }
 
-// Checkpoint returns the tables as bytes; equal tables give equal bytes.
+// Checkpoint returns the compressed encoding of the tables. Equal tables have equal encodings.
 func (t *Tables) Checkpoint() ([]byte, error) {
 	im := image{
 		Offset: t.Offset, Published: t.Published, Checkpointed: t.Checkpointed,
@@ -164,11 +164,12 @@
 	return w.EncodeAll(b, nil), nil
 }
 
-const maxCheckpoint = 256 << 20
+// maxCheckpointBytes bounds the memory for decompressing a checkpoint.
+const maxCheckpointBytes = 256 << 20
 
-// LoadCheckpoint returns the tables that Checkpoint wrote; it fails on anything else.
+// LoadCheckpoint decodes the output of Checkpoint.
 func LoadCheckpoint(b []byte) (*Tables, error) {
-	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxCheckpoint))
+	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxCheckpointBytes))
 	if err != nil {
 		return nil, fmt.Errorf("decompress checkpoint: %w", err)
 	}
@@ -185,21 +186,21 @@
 		Offset: im.Offset, Published: im.Published, Checkpointed: im.Checkpointed,
 		Version: im.Version, Configuration: im.Configuration, Results: im.Results,
 	}
-	fill(&t.Instances, im.Instances, func(r *Instance) string { return r.ID })
-	fill(&t.Entries, im.Entries, func(r *Entry) string { return r.ID })
-	fill(&t.Plans, im.Plans, func(r *Plan) string { return r.ID })
-	fill(&t.Jobs, im.Jobs, func(r *Job) string { return r.ID })
-	fill(&t.RunTimes, im.RunTimes, func(r *RunTime) string { return r.Pool })
+	loadRows(&t.Instances, im.Instances, func(r *Instance) string { return r.ID })
+	loadRows(&t.Entries, im.Entries, func(r *Entry) string { return r.ID })
+	loadRows(&t.Plans, im.Plans, func(r *Plan) string { return r.ID })
+	loadRows(&t.Jobs, im.Jobs, func(r *Job) string { return r.ID })
+	loadRows(&t.RunTimes, im.RunTimes, func(r *RunTime) string { return r.Pool })
 	for _, j := range t.Jobs.All {
 		t.charge(j, 1)
 		if j.State.Ended() {
-			t.ended++
+			t.endedJobs++
 		}
 	}
 	return t, nil
 }
 
-func fill[R any](t *Table[R], rows []R, id func(*R) string) {
+func loadRows[R any](t *Table[R], rows []R, id func(*R) string) {
 	for i := range rows {
 		t.Put(id(&rows[i]), rows[i])
 	}
