--- a/feed/reader.go
+++ b/feed/reader.go
@@ -72,6 +72,7 @@
 	return def
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/keep/writer.go
+++ b/keep/writer.go
@@ -133,6 +133,7 @@
 // recordSize returns the size of a record as the store counts it: one byte for the key's length, the key and the value.
 func recordSize(r feed.KeyedRecord) int { return 1 + len(r.Key) + len(r.Value) }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/lead/elector.go
+++ b/lead/elector.go
@@ -81,7 +81,7 @@
 	Clock *clock.Clock
 	// Serve does the leader's work until its context ends. It is called once for each term that this entry wins.
 	Serve func(ctx context.Context, t Term)
-	// OnRecord is called with every new leader's record that differs from the one before, from one goroutine at a time.
+	// OnRecord is called with every new leader's record that differs from the one before, from one goroutine.
 	Seen func(r Record)
 	// Eligible reports whether this entry may become leader now; always true when nil.
 	May func() bool
@@ -198,6 +198,7 @@
 	return ctx.Err()
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -296,7 +297,7 @@
 
 // applyPage applies the records that were read. No renewal among them is dated later than newest.
 func (e *Elector) applyPage(page feed.KeyedPage, newest time.Time) {
-	var news *Record
+	var updated *Record
 	e.mu.Lock()
 	e.end = max(e.end, page.Next)
 	if !e.failingSince.IsZero() && e.Clock.Since(e.failingSince) > outageThreshold {
@@ -317,7 +318,7 @@
 		}
 		if rec != e.latest {
 			e.latest = rec
-			news = &rec
+			updated = &rec
 		}
 	}
 	if e.lastHeard.IsZero() {
@@ -328,8 +329,8 @@
 		e.cancelTerm()
 	}
 	e.mu.Unlock()
-	if news != nil && e.Seen != nil {
-		e.Seen(*news)
+	if updated != nil && e.Seen != nil {
+		e.Seen(*updated)
 	}
 }
 
@@ -405,7 +406,7 @@
 		e.Events.Emit(event.LeadNotTaken, event.Subject{Entry: e.Entry}, fmt.Sprintf("term=%d err=%q", term, err))
 		return
 	}
-	serve, lost := context.WithCancel(ctx)
+	serveCtx, cancelTerm := context.WithCancel(ctx)
 	e.mu.Lock()
 	t := Term{Number: term, Fence: rec.Fence, Renewed: e.renewedAt, Coarse: e.latest.Loose || e.latest.Coarse || e.recentOutage()}
 	t.Clean = e.latest.Term == 0 || (e.latest.Released && !e.latest.Open)
@@ -413,14 +414,14 @@
 	e.predecessorsActive, e.predecessorsUnpersisted = !t.Alone, t.Coarse && !t.Clean
 	e.unpersisted, e.unpersistedPublished = false, false
 	e.latest, e.end = rec, next
-	e.cancelTerm, e.fence = lost, rec.Fence
+	e.cancelTerm, e.fence = cancelTerm, rec.Fence
 	e.lastHeard, e.confirmedAt = e.Clock.Now(), sent
 	e.mu.Unlock()
 	if e.Seen != nil {
 		e.Seen(rec)
 	}
 	e.Events.Emit(event.LeadTaken, event.Subject{Entry: e.Entry}, fmt.Sprintf("term=%d fence=%d", term, rec.Fence))
-	go e.serveTerm(serve, rec, t)
+	go e.serveTerm(serveCtx, rec, t)
 }
 
 // verifyTerm reads the term's record back and fails if it belongs to another entry.
