--- a/entry/ask.go
+++ b/entry/ask.go
@@ -64,11 +64,11 @@
 	}
 	var a peerpb.JobAnswer
 	if err := n.converse(ctx, leader, &peerpb.Open{Kind: &peerpb.Open_Job{Job: &peerpb.JobQuery{Id: q.ID, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open}}}, &a); err != nil {
-		n.elector.Look()
+		n.elector.ReadNow()
 		return job.Answer{}, err
 	}
 	if !a.Known && !a.Certain {
-		n.elector.Look()
+		n.elector.ReadNow()
 		return job.Answer{}, fmt.Errorf("ask %s: %w", leader, pool.ErrNotLeading)
 	}
 	return job.Answer{Known: a.Known, Certain: a.Certain, State: job.State(a.State), Pending: int(a.Pending), Organisation: a.Organisation}, nil
--- a/entry/node.go
+++ b/entry/node.go
@@ -199,11 +199,11 @@
 	n.elector = &lead.Elector{
 		Clock: n.Clock,
 		Entry: s.Entry, Address: peers.Addr().String(), Boot: n.boot, Topic: store.Own(leadTopic, 0), Events: n.Events,
-		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, Seen: n.followLeader,
-		May: func() bool { return n.ingress.Ready() },
+		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, OnRecord: n.followLeader,
+		Eligible: func() bool { return n.ingress.Ready() },
 	}
-	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.Lost, n.elector.HandOver
-	n.scheduler.AnnounceUnstoredOrders, n.scheduler.UnstoredOrdersAnnounced, n.scheduler.PublishEarlierLeaders = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
+	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.StepDown, n.elector.HandOver
+	n.scheduler.AnnounceUnstoredOrders, n.scheduler.UnstoredOrdersAnnounced, n.scheduler.PublishEarlierLeaders = n.elector.SetUnstored, n.elector.UnstoredPublished, n.elector.SetPredecessors
 	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[partOf(s.Entry, len(intakes))]}, Ask: n.ask, Events: n.Events}}
 	n.follower = &platform.Follower{Topic: store.Operator(), Events: n.Events, Clock: n.Clock, Within: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
 		n.ingress.SetConfig(c)
@@ -252,7 +252,7 @@
 }
 
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
-	if !n.ingress.Ready() || n.elector.Silence() > unreadyAfter {
+	if !n.ingress.Ready() || n.elector.UnansweredFor() > unreadyAfter {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/feed/reader.go
+++ b/feed/reader.go
@@ -18,11 +18,11 @@
 	// Backoff is the pause after a failed read; 200ms when 0.
 	Backoff time.Duration
 	// OnPage is called with each page in order. It returns the offset to continue from.
-	Page func(ctx context.Context, p Page) (next int64, err error)
+	OnPage func(ctx context.Context, p Page) (next int64, err error)
 	// OnTrimmed is called when the log no longer has offset Next. It returns the offset to continue from.
-	Trimmed func(ctx context.Context, first int64) (next int64, err error)
+	OnTrimmed func(ctx context.Context, first int64) (next int64, err error)
 	// OnError is called after each failed read. It returns the offset to continue from.
-	Failed func(ctx context.Context, next int64, err error) int64
+	OnError func(ctx context.Context, next int64, err error) int64
 
 	// atEnd is set once the reader has reached the end of the log. Before that, reads do not wait for new records.
 	atEnd bool
@@ -32,7 +32,7 @@
 func (r *Reader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := r.readPage(ctx); err != nil {
-			r.Next = r.Failed(ctx, r.Next, err)
+			r.Next = r.OnError(ctx, r.Next, err)
 			sleep(ctx, durationOr(r.Backoff, 200*time.Millisecond))
 		}
 	}
@@ -47,7 +47,7 @@
 	page, err := r.Log.Read(ctx, r.Next, wait)
 	var trimmed *TrimmedError
 	if errors.As(err, &trimmed) {
-		next, err := r.Trimmed(ctx, trimmed.First)
+		next, err := r.OnTrimmed(ctx, trimmed.First)
 		if err == nil {
 			r.Next = next
 		}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	next, err := r.Page(ctx, page)
+	next, err := r.OnPage(ctx, page)
 	if err != nil {
 		return err
 	}
--- a/feed/topic.go
+++ b/feed/topic.go
@@ -28,7 +28,7 @@
 type Batch struct {
 	Records []KeyedRecord
 	// ExpectedEnd is the offset at which the topic must end for the append to succeed; any when negative.
-	At int64
+	ExpectedEnd int64
 	Writer
 }
 
@@ -77,12 +77,12 @@
 // RefusedError means that the store will never accept these records as they are; nothing was appended.
 type RefusedError struct {
 	// Message is the store's error message.
-	Answer string
+	Message string
 }
 
 // Error contains the store's message and the remedy.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("the store refuses the records permanently: %s; change them before appending again", e.Answer)
+	return fmt.Sprintf("the store refuses the records permanently: %s; change them before appending again", e.Message)
 }
 
 // SequenceError means that the batch's sequence number does not follow the last one; nothing was appended.
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -57,7 +57,7 @@
 }
 
 // Min returns the smallest spare of any data centre, or the total if that is smaller.
-func (s Spare) Least() int {
+func (s Spare) Min() int {
 	least := s.Total
 	for _, n := range s.PerDataCentre {
 		least = min(least, n)
--- a/internal/drive/wave.go
+++ b/internal/drive/wave.go
@@ -194,7 +194,7 @@
 	if r.policy.Baseline {
 		return nil
 	}
-	return plan.Turns(r.t, r.costs())
+	return plan.TimeToTakeOut(r.t, r.costs())
 }
 
 func (r *run) costs() plan.Costs { return plan.Costs{Maintenance: r.size.Maintenance} }
@@ -319,7 +319,7 @@
 
 // displace has the jobs on draining instances leave, unless they are about to end.
 func (r *run) displace() {
-	patience := r.costs().Wait(r.size.Weights)
+	patience := r.costs().JobWait(r.size.Weights)
 	if r.policy.Baseline {
 		patience = 0
 	}
@@ -328,7 +328,7 @@
 		if w == nil || j.State != fleet.JobRunning || !w.leaving.IsZero() || r.t.Instances.Get(j.Instance).State != fleet.InstanceDraining {
 			continue
 		}
-		if plan.Leaves(j, r.now.Sub(w.since), patience) {
+		if plan.ShouldMove(j, r.now.Sub(w.since), patience) {
 			w.leaving = r.now.Add(checkpointTime)
 		}
 	}
@@ -342,7 +342,7 @@
 			done, asked := r.cmds[id]
 			switch {
 			case !asked:
-				return plan.CommandUnasked
+				return plan.CommandNotQueried
 			case r.now.Before(done):
 				return plan.CommandRunning
 			}
--- a/keep/dirty_rows.go
+++ b/keep/dirty_rows.go
@@ -4,13 +4,13 @@
 
 // DirtyRows is a queue of rows with changes that are not stored yet. It is ordered by each row's first change, so that no row is
 // starved while others keep changing. The zero value is empty.
-type Rows[R any] struct {
+type DirtyRows[R any] struct {
 	rows  map[string]R
 	order []string
 }
 
 // Add records that a row has changed. A row that is already queued keeps its place.
-func (d *Rows[R]) Add(key string, row R) {
+func (d *DirtyRows[R]) Add(key string, row R) {
 	if d.rows == nil {
 		d.rows = make(map[string]R)
 	}
@@ -21,19 +21,19 @@
 }
 
 // Remove removes a row. Its key stays in the order until Pop reaches it.
-func (d *Rows[R]) Drop(key string) { delete(d.rows, key) }
+func (d *DirtyRows[R]) Remove(key string) { delete(d.rows, key) }
 
 // Has reports whether a row has changes that are not stored yet.
-func (d *Rows[R]) Has(key string) bool {
+func (d *DirtyRows[R]) Has(key string) bool {
 	_, ok := d.rows[key]
 	return ok
 }
 
 // Empty reports whether all changes are stored.
-func (d *Rows[R]) Empty() bool { return len(d.rows) == 0 }
+func (d *DirtyRows[R]) Empty() bool { return len(d.rows) == 0 }
 
 // Pop removes and returns the row that changed first; ok is false when there is none.
-func (d *Rows[R]) Next() (key string, row R, ok bool) {
+func (d *DirtyRows[R]) Pop() (key string, row R, ok bool) {
 	for len(d.order) > 0 {
 		key = d.order[0]
 		d.order = d.order[1:]
--- a/keep/doc.go
+++ b/keep/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package keep persists a leader's tables to a keyed topic.
+Package keep stores a leader's tables to a keyed topic.
 
 The leader makes one batch of changed records at a time, and a Writer appends
 it. Each row is a record under its own key and is written when it changes, so
--- a/keep/writer.go
+++ b/keep/writer.go
@@ -27,16 +27,16 @@
 	Name  string
 	Epoch int64
 	// MaxRecordBytes bounds the size of one record, including its key; unbounded when 0.
-	RecordMost int
+	MaxRecordBytes int
 	// OnFailure is called when a call for a batch first fails, OnRecovery when the store accepts that batch later.
-	Failing func(err error)
-	Again   func()
+	OnFailure  func(err error)
+	OnRecovery func()
 
 	sequence int64
 }
 
 // RejectedRecord is a record that the store will never accept.
-type Aside struct {
+type RejectedRecord struct {
 	Key string
 	// Bytes is the size of the record, including its key.
 	Bytes int
@@ -44,7 +44,7 @@
 }
 
 // Error names the record, the reason and the remedy.
-func (a Aside) Error() string {
+func (a RejectedRecord) Error() string {
 	return fmt.Sprintf("record %q of %d bytes was not stored: %v; reduce its content", a.Key, a.Bytes, a.Err)
 }
 
@@ -55,12 +55,12 @@
 //
 // It retries until the context ends and then returns the context's error. A *feed.FencedError or a *feed.SequenceError means that
 // the term is over.
-func (w *Writer) Append(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
-	var rejected []Aside
+func (w *Writer) Append(ctx context.Context, records []feed.KeyedRecord) ([]RejectedRecord, error) {
+	var rejected []RejectedRecord
 	sendable := make([]feed.KeyedRecord, 0, len(records))
 	for _, r := range records {
-		if n := recordSize(r); w.RecordMost > 0 && n > w.RecordMost {
-			rejected = append(rejected, Aside{Key: r.Key, Bytes: n, Err: errTooLong})
+		if n := recordSize(r); w.MaxRecordBytes > 0 && n > w.MaxRecordBytes {
+			rejected = append(rejected, RejectedRecord{Key: r.Key, Bytes: n, Err: errTooLong})
 			continue
 		}
 		sendable = append(sendable, r)
@@ -73,14 +73,14 @@
 }
 
 // appendSplitting appends the records and splits them into halves when the store refuses them together.
-func (w *Writer) appendSplitting(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
+func (w *Writer) appendSplitting(ctx context.Context, records []feed.KeyedRecord) ([]RejectedRecord, error) {
 	err := w.appendUntilAnswered(ctx, records)
 	var refused *feed.RefusedError
 	switch {
 	case !errors.As(err, &refused):
 		return nil, err
 	case len(records) == 1:
-		return []Aside{{Key: records[0].Key, Bytes: recordSize(records[0]), Err: err}}, nil
+		return []RejectedRecord{{Key: records[0].Key, Bytes: recordSize(records[0]), Err: err}}, nil
 	}
 	half := len(records) / 2
 	first, err := w.appendSplitting(ctx, records[:half])
@@ -93,7 +93,7 @@
 
 // appendUntilAnswered repeats one append until it is answered. The store accepts a sequence number only once, so repeating is safe.
 func (w *Writer) appendUntilAnswered(ctx context.Context, records []feed.KeyedRecord) error {
-	b := feed.Batch{Records: records, At: -1, Writer: feed.Writer{Name: w.Name, Epoch: w.Epoch, Sequence: w.sequence + 1}}
+	b := feed.Batch{Records: records, ExpectedEnd: -1, Writer: feed.Writer{Name: w.Name, Epoch: w.Epoch, Sequence: w.sequence + 1}}
 	failed := false
 	for ctx.Err() == nil {
 		err := w.appendOnce(ctx, b)
@@ -101,13 +101,13 @@
 		case err == nil:
 			w.sequence++
 			if failed {
-				w.Again()
+				w.OnRecovery()
 			}
 			return nil
 		case isFinal(err):
 			return err
 		case !failed:
-			w.Failing(err)
+			w.OnFailure(err)
 		}
 		failed = true
 		sleep(ctx, retryPause)
--- a/lead/elector.go
+++ b/lead/elector.go
@@ -82,9 +82,9 @@
 	// Serve does the leader's work until its context ends. It is called once for each term that this entry wins.
 	Serve func(ctx context.Context, t Term)
 	// OnRecord is called with every new leader's record that differs from the one before, from one goroutine.
-	Seen func(r Record)
+	OnRecord func(r Record)
 	// Eligible reports whether this entry may become leader now; always true when nil.
-	May func() bool
+	Eligible func() bool
 
 	mu            sync.Mutex
 	latest        Record
@@ -104,13 +104,13 @@
 	resigned      bool
 	// handingOver is set when this term is being given up and the next is left to other entries.
 	handingOver bool
-	// unpersisted is published with the next renewal; unpersistedPublished is set once the store has accepted it. renewNow
+	// unstored is published with the next renewal; unstoredPublished is set once the store has accepted it. renewNow
 	// starts the next renewal without waiting.
-	unpersisted, unpersistedPublished bool
-	renewNow                          chan struct{}
-	readNow                           chan struct{} // ends pauseBeforeRead
-	// predecessorsActive and predecessorsUnpersisted are published about the leaders before this one.
-	predecessorsActive, predecessorsUnpersisted bool
+	unstored, unstoredPublished bool
+	renewNow                    chan struct{}
+	readNow                     chan struct{} // ends pauseBeforeRead
+	// predecessorsActive and predecessorsUnstored are published about the leaders before this one.
+	predecessorsActive, predecessorsUnstored bool
 }
 
 // Confirmed reports whether a recent renewal proves that this entry still leads.
@@ -135,7 +135,7 @@
 }
 
 // StepDown ends the term that has the fence, after a call was refused because of a higher one.
-func (e *Elector) Lost(fence int64) {
+func (e *Elector) StepDown(fence int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cancelTerm != nil && e.fence == fence {
@@ -253,7 +253,7 @@
 }
 
 // ReadNow ends the pause before the next read: the known leader does not answer, and the topic may have a newer record.
-func (e *Elector) Look() {
+func (e *Elector) ReadNow() {
 	select {
 	case e.readNow <- struct{}{}:
 	default:
@@ -329,8 +329,8 @@
 		e.cancelTerm()
 	}
 	e.mu.Unlock()
-	if updated != nil && e.Seen != nil {
-		e.Seen(*updated)
+	if updated != nil && e.OnRecord != nil {
+		e.OnRecord(*updated)
 	}
 }
 
@@ -349,7 +349,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
-	if e.cancelTerm != nil || e.resigned || now.Before(e.notBefore) || (e.May != nil && !e.May()) {
+	if e.cancelTerm != nil || e.resigned || now.Before(e.notBefore) || (e.Eligible != nil && !e.Eligible()) {
 		return false
 	}
 	return now.Sub(e.lastHeard) >= e.vacancyTimeout()
@@ -392,7 +392,7 @@
 	end := e.end
 	e.mu.Unlock()
 	// Until the first renewal nothing is known about the earlier leaders, so the record assumes the worst of them.
-	rec := Record{Entry: e.Entry, Address: e.Address, Boot: e.Boot, Weight: max(e.Weight, weight), Term: term, Fence: term<<fenceBits | rand.Int64N(1<<(fenceBits-1)), Open: term > 1, Coarse: term > 1}
+	rec := Record{Entry: e.Entry, Address: e.Address, Boot: e.Boot, Weight: max(e.Weight, weight), Term: term, Fence: term<<fenceBits | rand.Int64N(1<<(fenceBits-1)), PredecessorsActive: term > 1, PredecessorsUnstored: term > 1}
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	sent := e.Clock.Sure()
 	next, err := e.append(call, rec, end, 0)
@@ -408,17 +408,17 @@
 	}
 	serveCtx, cancelTerm := context.WithCancel(ctx)
 	e.mu.Lock()
-	t := Term{Number: term, Fence: rec.Fence, Renewed: e.renewedAt, Coarse: e.latest.Loose || e.latest.Coarse || e.recentOutage()}
-	t.Clean = e.latest.Term == 0 || (e.latest.Released && !e.latest.Open)
-	t.Alone = t.Clean || (e.ledByEarlierBoot() && !e.latest.Open)
-	e.predecessorsActive, e.predecessorsUnpersisted = !t.Alone, t.Coarse && !t.Clean
-	e.unpersisted, e.unpersistedPublished = false, false
+	t := Term{Number: term, Fence: rec.Fence, PredecessorRenewed: e.renewedAt, PredecessorsUnstored: e.latest.Unstored || e.latest.PredecessorsUnstored || e.recentOutage()}
+	t.CleanHandover = e.latest.Term == 0 || (e.latest.Released && !e.latest.PredecessorsActive)
+	t.Exclusive = t.CleanHandover || (e.ledByEarlierBoot() && !e.latest.PredecessorsActive)
+	e.predecessorsActive, e.predecessorsUnstored = !t.Exclusive, t.PredecessorsUnstored && !t.CleanHandover
+	e.unstored, e.unstoredPublished = false, false
 	e.latest, e.end = rec, next
 	e.cancelTerm, e.fence = cancelTerm, rec.Fence
 	e.lastHeard, e.confirmedAt = e.Clock.Now(), sent
 	e.mu.Unlock()
-	if e.Seen != nil {
-		e.Seen(rec)
+	if e.OnRecord != nil {
+		e.OnRecord(rec)
 	}
 	e.Events.Emit(event.LeadTaken, event.Subject{Entry: e.Entry}, fmt.Sprintf("term=%d fence=%d", term, rec.Fence))
 	go e.serveTerm(serveCtx, rec, t)
@@ -458,7 +458,7 @@
 		return 0, fmt.Errorf("encode the leader's record: %w", err)
 	}
 	return e.Topic.Append(ctx, feed.Batch{
-		Records: []feed.KeyedRecord{{Key: key, Value: value}}, At: at,
+		Records: []feed.KeyedRecord{{Key: key, Value: value}}, ExpectedEnd: at,
 		Writer: feed.Writer{Name: writer, Epoch: rec.Fence, Sequence: sequence},
 	})
 }
@@ -521,7 +521,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.mu.Lock()
-	r.record.Loose, r.record.Open, r.record.Coarse = e.unpersisted, e.predecessorsActive, e.predecessorsUnpersisted
+	r.record.Unstored, r.record.PredecessorsActive, r.record.PredecessorsUnstored = e.unstored, e.predecessorsActive, e.predecessorsUnstored
 	e.mu.Unlock()
 	first := e.Clock.Sure()
 	answers := make(chan error, maxRenewalsInFlight)
@@ -545,7 +545,7 @@
 				retry.Stop()
 				return renewal{record: r.record, sequence: r.sequence + 1}
 			case errors.As(err, &fenced):
-				e.Lost(r.record.Fence)
+				e.StepDown(r.record.Fence)
 			default:
 				sleep(ctx, renewRetryPause)
 			}
@@ -567,13 +567,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.confirmedAt = first
-	e.unpersistedPublished = r.record.Loose && e.unpersisted
+	e.unstoredPublished = r.record.Unstored && e.unstored
 }
 
 func (e *Elector) release(rec Record, sequence int64) {
 	rec.Released = true
 	e.mu.Lock()
-	rec.Loose, rec.Open, rec.Coarse = e.unpersisted, e.predecessorsActive, e.predecessorsUnpersisted
+	rec.Unstored, rec.PredecessorsActive, rec.PredecessorsUnstored = e.unstored, e.predecessorsActive, e.predecessorsUnstored
 	e.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/lead/outage.go
+++ b/lead/outage.go
@@ -5,10 +5,10 @@
 import "time"
 
 // outageThreshold is how long the store must have been unanswering for it to count as an outage. It is below the time after
-// which a leader without the store sends orders that it cannot persist.
+// which a leader without the store sends orders that it cannot store.
 const outageThreshold = time.Second
 
-// outageRetention is how long an outage is remembered. A leader that has renewed since then has either persisted what it
+// outageRetention is how long an outage is remembered. A leader that has renewed since then has either stored what it
 // ordered during the outage or says in its record that it has not.
 const outageRetention = 5 * time.Second
 
@@ -18,7 +18,7 @@
 }
 
 // UnansweredFor returns for how long the store has not answered this entry, 0 while it does.
-func (e *Elector) Silence() time.Duration {
+func (e *Elector) UnansweredFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.failingSince.IsZero() {
@@ -27,16 +27,16 @@
 	return e.Clock.Since(e.failingSince)
 }
 
-// SetUnpersisted publishes whether the leader may send orders that it cannot persist.
-func (e *Elector) SetLoose(unpersisted bool) {
+// SetUnstored publishes whether the leader may send orders that it cannot store.
+func (e *Elector) SetUnstored(unstored bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.unpersisted == unpersisted {
+	if e.unstored == unstored {
 		return
 	}
-	e.unpersisted = unpersisted
-	if !unpersisted {
-		e.unpersistedPublished = false
+	e.unstored = unstored
+	if !unstored {
+		e.unstoredPublished = false
 	}
 	select {
 	case e.renewNow <- struct{}{}:
@@ -45,17 +45,17 @@
 }
 
 // SetPredecessors publishes whether an earlier leader may still send orders, and whether an earlier leader may have sent
-// orders that it could not persist.
-func (e *Elector) SetEarlier(active, unpersisted bool) {
+// orders that it could not store.
+func (e *Elector) SetPredecessors(active, unstored bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.predecessorsActive, e.predecessorsUnpersisted = active, unpersisted
+	e.predecessorsActive, e.predecessorsUnstored = active, unstored
 }
 
-// UnpersistedPublished reports whether the store has the information that this leader may send orders that it cannot persist,
+// UnstoredPublished reports whether the store has the information that this leader may send orders that it cannot store,
 // so that the next leader will know.
-func (e *Elector) LooseKept() bool {
+func (e *Elector) UnstoredPublished() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.unpersistedPublished
+	return e.unstoredPublished
 }
--- a/lead/read_pause_test.go
+++ b/lead/read_pause_test.go
@@ -68,7 +68,7 @@
 		took := time.Since(at)
 		c.Check(took < electionTimeout+followerReadPause+weightDelay+2*maxJitter+maxReadWait, quicktest.IsTrue, quicktest.Commentf("after %v", took))
 		for range 3 {
-			electors["tiny"].Look() // must not block
+			electors["tiny"].ReadNow() // must not block
 		}
 	})
 }
--- a/lead/record.go
+++ b/lead/record.go
@@ -16,11 +16,11 @@
 	Fence int64
 	// Released is set when the leader has given up the term.
 	Released bool
-	// Unpersisted is set when the leader may have sent orders that it could not persist.
-	Loose bool
-	// PredecessorsActive is set when an earlier leader may still send orders, PredecessorsUnpersisted when an earlier leader may
-	// have sent orders that it could not persist.
-	Open, Coarse bool
+	// Unstored is set when the leader may have sent orders that it could not store.
+	Unstored bool
+	// PredecessorsActive is set when an earlier leader may still send orders, PredecessorsUnstored when an earlier leader may
+	// have sent orders that it could not store.
+	PredecessorsActive, PredecessorsUnstored bool
 	// Weight is the largest weight of any leader so far.
 	Weight float64
 }
@@ -28,16 +28,18 @@
 // Term is a term that this entry has won.
 type Term struct {
 	Number, Fence int64
-	// PredecessorsUnpersisted is set when an earlier leader may have sent orders that are not persisted.
+	// PredecessorsUnstored is set when an earlier leader may have sent orders that are not stored.
 	// CleanHandover is set when there was no earlier leader, or the last one released its term and no leader before it was
 	// active any more.
 	// Exclusive is set when no earlier leader can be active any more: the handover was clean, or the last leader was an
 	// earlier boot of this entry and had published that its own predecessors had stopped.
-	Coarse, Clean, Alone bool
+	PredecessorsUnstored, CleanHandover, Exclusive bool
 	// PredecessorRenewed is when this entry read the newest renewal of the previous leader, or the latest time at which that
 	// renewal can have arrived; the zero time when there was none.
-	Renewed time.Time
+	PredecessorRenewed time.Time
 }
 
 // NextToken returns the fencing token after one of this term, and false if that token would belong to the next term.
-func (t Term) Raised(token int64) (int64, bool) { return token + 1, (token+1)>>fenceBits == t.Number }
+func (t Term) NextToken(token int64) (int64, bool) {
+	return token + 1, (token+1)>>fenceBits == t.Number
+}
--- a/lead/renewal_date_test.go
+++ b/lead/renewal_date_test.go
@@ -45,7 +45,7 @@
 			time.Sleep(400 * time.Millisecond) // time for one more renewal
 			tp.setFailing("a", true)
 			last := time.Now()
-			renewed := (<-terms).Renewed
+			renewed := (<-terms).PredecessorRenewed
 			c.Check(renewed.After(last.Add(renewalTransitMargin)), quicktest.IsFalse, quicktest.Commentf("%v after the last one", renewed.Sub(last)))
 			cancel()
 			time.Sleep(time.Minute)
--- a/lead/take_term_test.go
+++ b/lead/take_term_test.go
@@ -31,10 +31,10 @@
 			store := tp.forEntry(name)
 			appendTo := store.Append
 			store.Append = func(ctx context.Context, b feed.Batch) (int64, error) {
-				if end, err := appendTo(ctx, b); err == nil || b.At < 0 {
+				if end, err := appendTo(ctx, b); err == nil || b.ExpectedEnd < 0 {
 					return end, err
 				}
-				return int64(b.At) + 1, nil // same epoch and sequence number: the store repeats its first answer
+				return int64(b.ExpectedEnd) + 1, nil // same epoch and sequence number: the store repeats its first answer
 			}
 			return &Elector{Entry: name, Boot: "1", Topic: store, Weight: 1, Events: new(event.Ring), Serve: func(ctx context.Context, _ Term) { leads <- name; <-ctx.Done() }}
 		}
@@ -105,10 +105,10 @@
 			appendTo, newest := store.Append, store.Newest
 			store.Append = func(ctx context.Context, b feed.Batch) (int64, error) {
 				end, err := appendTo(ctx, b)
-				if err == nil && follower != "" && b.At >= 0 { // another entry takes the next term before the record is read back
+				if err == nil && follower != "" && b.ExpectedEnd >= 0 { // another entry takes the next term before the record is read back
 					value, encoded := cbor.Marshal(Record{Entry: follower, Boot: "1", Term: 2, Fence: 2 << fenceBits})
 					c.Assert(encoded, quicktest.IsNil)
-					return appendTo(ctx, feed.Batch{At: -1, Records: []feed.KeyedRecord{{Key: key, Value: value}}})
+					return appendTo(ctx, feed.Batch{ExpectedEnd: -1, Records: []feed.KeyedRecord{{Key: key, Value: value}}})
 				}
 				return end, err
 			}
--- a/plan/estimate.go
+++ b/plan/estimate.go
@@ -14,11 +14,11 @@
 	if len(p.Steps) == 0 {
 		return e
 	}
-	e.RollOut = time.Duration(p.Waves) * costs.Time()
-	e.RollOutBound = time.Duration(minWaves(t, p)) * costs.Time()
+	e.RollOut = time.Duration(p.Waves) * costs.MaintenanceTime()
+	e.RollOutBound = time.Duration(minWaves(t, p)) * costs.MaintenanceTime()
 	e.BufferBound = (len(p.Steps) + p.Waves - 1) / p.Waves
 	for i := range p.Steps {
-		wait := time.Duration(p.Steps[i].Wave) * costs.Time()
+		wait := time.Duration(p.Steps[i].Wave) * costs.MaintenanceTime()
 		moves, bound := countMoves(t, p.Steps[i].Instance, wait, e.RollOut)
 		e.Moves += moves
 		e.MovesBound += bound
--- a/plan/make.go
+++ b/plan/make.go
@@ -23,7 +23,7 @@
 const defaultMaintenance = 2 * time.Minute
 
 // MaintenanceTime returns Maintenance or its default.
-func (c Costs) Time() time.Duration {
+func (c Costs) MaintenanceTime() time.Duration {
 	if c.Maintenance > 0 {
 		return c.Maintenance
 	}
@@ -32,16 +32,16 @@
 
 // JobWait returns Patience, or else a wait derived from the weights: the higher the weight of moves relative to that of roll-out
 // time, the longer the wait.
-func (c Costs) Wait(w fleet.Weights) time.Duration {
+func (c Costs) JobWait(w fleet.Weights) time.Duration {
 	switch {
 	case c.Patience > 0:
 		return c.Patience
 	case w.Moves == 0:
 		return 0
 	case w.RollOut == 0:
-		return maxWaitFactor * c.Time()
+		return maxWaitFactor * c.MaintenanceTime()
 	}
-	return min(maxWaitFactor*c.Time(), time.Duration(w.Moves/w.RollOut*float64(c.Time())))
+	return min(maxWaitFactor*c.MaintenanceTime(), time.Duration(w.Moves/w.RollOut*float64(c.MaintenanceTime())))
 }
 
 // maxWaitFactor bounds the wait for a job, as a multiple of the time for one maintenance.
--- a/plan/next.go
+++ b/plan/next.go
@@ -14,8 +14,8 @@
 
 // States of a command as far as this entry knows.
 const (
-	CommandUnasked CommandFact = iota // this entry has not asked the platform yet
-	CommandAbsent                     // the platform does not know the command
+	CommandNotQueried CommandFact = iota // this entry has not asked the platform yet
+	CommandUnknown                       // the platform does not know the command
 	CommandRunning
 	CommandDone
 	CommandExpired // the platform refuses it permanently
@@ -191,7 +191,7 @@
 		return
 	}
 	switch n.f.Command(in.Command) {
-	case CommandUnasked, CommandAbsent:
+	case CommandNotQueried, CommandUnknown:
 		n.out = append(n.out, Decision{Command: &Command{Instance: in.ID, ID: in.Command, Action: s.Action}})
 	case CommandExpired:
 		n.advance(s, in, fleet.StepDrained, nil) // it has not happened and never will, so a new command may be sent
@@ -206,7 +206,7 @@
 
 // TimeToTakeOut returns a function that returns how long an instance is expected to stay in service before an active plan takes
 // it out, and false when no active plan will.
-func Turns(t *fleet.Tables, c Costs) func(instance string) (time.Duration, bool) {
+func TimeToTakeOut(t *fleet.Tables, c Costs) func(instance string) (time.Duration, bool) {
 	times := make(map[string]time.Duration)
 	for _, p := range t.Plans.All {
 		if !p.Active() {
@@ -215,7 +215,7 @@
 		first := firstWaitingWave(p)
 		for i := range p.Steps {
 			if s := &p.Steps[i]; s.State == fleet.StepWaiting {
-				times[s.Instance] = time.Duration(s.Wave-first) * c.Time()
+				times[s.Instance] = time.Duration(s.Wave-first) * c.MaintenanceTime()
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 //
 // Declared run times are often far off. A job that has exceeded its declared run time is expected to run for as long again as it
 // has run so far.
-func Leaves(j *fleet.Job, ran, patience time.Duration) bool {
+func ShouldMove(j *fleet.Job, ran, patience time.Duration) bool {
 	remaining := j.Spec.RunTime.Std() - ran
 	if remaining < 0 {
 		remaining = ran
--- a/pool/aside.go
+++ b/pool/aside.go
@@ -57,7 +57,7 @@
 }
 
 // excludeDependents removes what depends on a rejected record from the batch's results.
-func (c *session) excludeDependents(m *commitBatch, a keep.Aside) {
+func (c *session) excludeDependents(m *commitBatch, a keep.RejectedRecord) {
 	for _, prefix := range append(sidePrefixes[:], stateKey) {
 		if id, ok := strings.CutPrefix(a.Key, prefix); ok {
 			c.excludeJob(m, c.jobs[id])
--- a/pool/commit.go
+++ b/pool/commit.go
@@ -27,7 +27,7 @@
 	waves    map[int64]int // the versions of waves in the batch
 	starts   []plannedStart
 	// aside holds the records that the store rejects for good. The storing goroutine sets it before answeredAt.
-	aside []keep.Aside
+	aside []keep.RejectedRecord
 	// answeredAt is when the store accepted the batch, or nil before that. The storing goroutine sets it.
 	answeredAt atomic.Pointer[time.Time]
 }
@@ -70,7 +70,7 @@
 		}
 	}()
 	for size < c.maxBatchBytes {
-		_, j, ok := c.dirtyJobs.Next()
+		_, j, ok := c.dirtyJobs.Pop()
 		if !ok {
 			break
 		}
@@ -161,11 +161,11 @@
 func (c *session) newWriter() *keep.Writer {
 	return &keep.Writer{
 		Call: func(ctx context.Context, b feed.Batch) (int64, error) { return c.State.Append(ctx, b) },
-		Name: writerName, Epoch: c.term.Fence, RecordMost: c.MaxRecordBytes,
-		Failing: func(err error) {
+		Name: writerName, Epoch: c.term.Fence, MaxRecordBytes: c.MaxRecordBytes,
+		OnFailure: func(err error) {
 			c.emit(event.StoreUnreachable, event.Subject{Entry: c.Entry}, "state not kept: %v", err)
 		},
-		Again: func() { c.emit(event.StoreReachable, event.Subject{Entry: c.Entry}, "state kept again") },
+		OnRecovery: func() { c.emit(event.StoreReachable, event.Subject{Entry: c.Entry}, "state kept again") },
 	}
 }
 
@@ -258,7 +258,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
-			_, err := topic.Append(ctx, feed.Batch{At: -1, Records: []feed.KeyedRecord{{Key: name.SubmissionKey()}, {Key: name.CancelKey()}}})
+			_, err := topic.Append(ctx, feed.Batch{ExpectedEnd: -1, Records: []feed.KeyedRecord{{Key: name.SubmissionKey()}, {Key: name.CancelKey()}}})
 			cancel()
 			if err != nil {
 				c.emit(event.StoreUnreachable, event.Subject{Job: id}, "old job not dropped: %v", err)
--- a/pool/fence.go
+++ b/pool/fence.go
@@ -20,7 +20,7 @@
 // After a leader that gave up the lead itself no fencing call is made, as for moves, so a call of such a leader that
 // is delayed by a partition is not fenced.
 func (c *session) canStartLasting(w *worker, now time.Time) bool {
-	if c.term.Alone || c.term.Number == 1 || c.fenced[w.Machine] {
+	if c.term.Exclusive || c.term.Number == 1 || c.fenced[w.Machine] {
 		return true
 	}
 	if !c.confirmed(now) {
--- a/pool/liferecords.go
+++ b/pool/liferecords.go
@@ -40,7 +40,7 @@
 	}
 	size := recordsSize(records)
 	for size < c.maxBatchBytes {
-		life, _, ok := c.dirtyLives.Next()
+		life, _, ok := c.dirtyLives.Pop()
 		if !ok {
 			break
 		}
@@ -104,6 +104,6 @@
 			c.markLifeDirty(w.Life)
 			continue
 		}
-		c.dirtyLives.Drop(life)
+		c.dirtyLives.Remove(life)
 	}
 }
--- a/pool/lives.go
+++ b/pool/lives.go
@@ -44,7 +44,7 @@
 // raiseToken raises the token of a row's ID. The row's life counts as answered once it has answered under the new
 // token.
 func (c *session) raiseToken(w *worker) {
-	token, ok := c.term.Raised(w.token.Load())
+	token, ok := c.term.NextToken(w.token.Load())
 	if !ok {
 		c.Lost(c.term.Fence) // the next leader begins with a higher one
 		return
--- a/pool/load.go
+++ b/pool/load.go
@@ -83,7 +83,7 @@
 }
 
 func (c *session) tryLoad(ctx context.Context) error {
-	batch := feed.Batch{At: -1, Writer: feed.Writer{Name: writerName, Epoch: c.term.Fence}}
+	batch := feed.Batch{ExpectedEnd: -1, Writer: feed.Writer{Name: writerName, Epoch: c.term.Fence}}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if _, err := c.State.Append(call, batch); err != nil {
@@ -206,9 +206,9 @@
 			c.restoreIDConflict(r, now)
 		}
 	}
-	c.earlierUnstored = c.term.Coarse
+	c.earlierUnstored = c.term.PredecessorsUnstored
 	c.soleLeaderFrom = now
-	if !c.term.Alone {
+	if !c.term.Exclusive {
 		c.soleLeaderFrom = now.Add(earlierCallsFor)
 	}
 	c.tablesReadAt, c.majorityFencedAt = now, time.Time{}
@@ -234,7 +234,7 @@
 			j.RestoreLost(lost[id])
 			j.RestoreLate(late[id], now, wallClock(), lateMax)
 			c.restoreRuns(j, k, ended)
-			c.dirtyJobs.Drop(id)
+			c.dirtyJobs.Remove(id)
 		}
 		c.inheritedJobs[id] = true
 		j.From = now.Add(-ageOf(j.Spec.Taken, wallClock()))
--- a/pool/majority_test.go
+++ b/pool/majority_test.go
@@ -22,7 +22,7 @@
 func TestLivesThatBeganLaterDoNotStopTheEarlierLeader(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, nil, "w1", "w2", "w3", "w4")
-	b.term.Alone, b.term.Clean = false, false
+	b.term.Exclusive, b.term.CleanHandover = false, false
 	b.report("w1", 100, nil)
 	for i := range 5 {
 		life := fmt.Sprint("new", i)
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		var open, coarse bool
 		b.PublishEarlierLeaders = func(o, k bool) { open, coarse = o, k }
 		b.report("w1", 100, nil)
--- a/pool/modes.go
+++ b/pool/modes.go
@@ -81,7 +81,7 @@
 // updateModes updates the modes that follow from the state of other tables.
 func (c *session) updateModes(now time.Time) {
 	c.setMode(modeUnconfirmed, !c.confirmed(now), now, "newest confirmed renewal")
-	c.setMode(modeHearing, !c.term.Clean && c.majorityFencedAt.IsZero(), now, "half of the instances have this leader's token")
+	c.setMode(modeHearing, !c.term.CleanHandover && c.majorityFencedAt.IsZero(), now, "half of the instances have this leader's token")
 	if len(c.uncertainLives) == 0 {
 		c.reportTakeoverStep("all-heard", now)
 	}
--- a/pool/placing.go
+++ b/pool/placing.go
@@ -250,7 +250,7 @@
 // mayHaveUnstoredRuns reports whether an earlier leader may have started, or may still start, runs that are not stored: one that continued without
 // the store, or one that may do so until half of the instances have this leader's token.
 func (c *session) mayHaveUnstoredRuns() bool {
-	return c.earlierUnstored || (!c.term.Clean && c.majorityFencedAt.IsZero())
+	return c.earlierUnstored || (!c.term.CleanHandover && c.majorityFencedAt.IsZero())
 }
 
 // hasUnansweredWorkers reports whether an unstored run of an earlier leader may still be active on a worker of the pool that has not answered this
--- a/pool/proof.go
+++ b/pool/proof.go
@@ -123,7 +123,7 @@
 	instances := c.instanceCount(len(c.livesByMachine))
 	now = c.laterOf(now)
 	// This applies even before half of them have answered: if this leader is lost before that, the next one knows nothing about the leader before it.
-	if now.After(c.term.Renewed.Add(raisedWithin(instances))) {
+	if now.After(c.term.PredecessorRenewed.Add(raisedWithin(instances))) {
 		c.assumeUnstored("half of the workers were not heard in time")
 	}
 	if 2*c.answeredCount < instances || !c.earlierLivesHeard() {
@@ -176,7 +176,7 @@
 
 // assumeUnstored assumes from now on that the earlier leader may have started runs that are not stored.
 func (c *session) assumeUnstored(why string) {
-	if c.earlierUnstored || c.term.Clean {
+	if c.earlierUnstored || c.term.CleanHandover {
 		return
 	}
 	c.earlierUnstored = true
@@ -185,7 +185,7 @@
 
 // earlierStoppedBy returns the time by which the earlier leader has certainly given its last order to a worker, or false while that is unknown.
 func (c *session) earlierStoppedBy() (time.Time, bool) {
-	if c.term.Alone {
+	if c.term.Exclusive {
 		return c.tablesReadAt, true
 	}
 	if c.majorityFencedAt.IsZero() {
--- a/pool/recordsize_test.go
+++ b/pool/recordsize_test.go
@@ -47,7 +47,7 @@
 func newFullFixture(c *quicktest.C) *fullFixture {
 	b := newFixture(c, nil)
 	x := &fullFixture{fixture: b, largest: make(map[string]int), state: make(map[string][]byte)}
-	b.MaxRecordBytes, b.writer.RecordMost = recordBytes, recordBytes
+	b.MaxRecordBytes, b.writer.MaxRecordBytes = recordBytes, recordBytes
 	b.PutWave = func(context.Context, int64, bool) error { return nil }
 	b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) {
 		x.calls++
@@ -59,12 +59,12 @@
 			x.largest[kind] = max(x.largest[kind], n)
 			x.state[r.Key] = r.Value
 			if n > recordBytes {
-				return 0, &feed.RefusedError{Answer: "status 400"}
+				return 0, &feed.RefusedError{Message: "status 400"}
 			}
 		}
 		x.batch = max(x.batch, size)
 		if size > callBytes {
-			return 0, &feed.RefusedError{Answer: "status 400"}
+			return 0, &feed.RefusedError{Message: "status 400"}
 		}
 		return 1, nil
 	}
@@ -206,7 +206,7 @@
 		b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) {
 			for _, r := range batch.Records {
 				if rejecting && r.Key == stateKey+"00000000000000a1" && len(r.Value) > 0 {
-					return 0, &feed.RefusedError{Answer: "status 400"}
+					return 0, &feed.RefusedError{Message: "status 400"}
 				}
 			}
 			for _, r := range batch.Records {
@@ -284,7 +284,7 @@
 func TestTheModeOfRecordsAsideEndsWithTheirJobs(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, nil, "w1")
-	b.setAside(&commitBatch{aside: []keep.Aside{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
+	b.setAside(&commitBatch{aside: []keep.RejectedRecord{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
 	c.Assert(b.inMode(modeAside), quicktest.IsTrue)
 	b.removeLife(b.workers["w1"], "it has left")
 	b.updateModes(time.Now())
--- a/pool/session.go
+++ b/pool/session.go
@@ -58,8 +58,8 @@
 	endedLives map[string]bool
 	// dirtyJobs and dirtyLives hold the jobs and lives with unstored changes. legacyWorkersRecord is set while the
 	// store still holds the single record of all lives that earlier versions wrote.
-	dirtyJobs           keep.Rows[*job.Job]
-	dirtyLives          keep.Rows[struct{}]
+	dirtyJobs           keep.DirtyRows[*job.Job]
+	dirtyLives          keep.DirtyRows[struct{}]
 	legacyWorkersRecord bool
 	// writer appends to the state topic. It is used only by the append in progress.
 	writer *keep.Writer
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -55,7 +55,7 @@
 	s.SetBounds(Bounds{Lease: 10 * time.Second, Stop: 400 * time.Millisecond, Status: time.Minute})
 	s.catalog.Store(&job.Catalog{Queues: map[string]job.Queue{"q": {Name: "q", Pool: "p", Attempts: 3, Stretch: 2}}})
 	s.counts = newMetrics(nil)
-	b := &fixture{session: newSession(s, lead.Term{Number: 2, Fence: 2 << 16, Clean: true, Alone: true}), c: c}
+	b := &fixture{session: newSession(s, lead.Term{Number: 2, Fence: 2 << 16, CleanHandover: true, Exclusive: true}), c: c}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.ctx = ctx
 	c.Cleanup(func() { cancel(); b.background.Wait() })
@@ -158,7 +158,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil)
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		b.storedLives = make(map[string]bool)
 		var earlier []keptWorker
 		for _, life := range []string{"w1", "w2", "w3", "w4"} {
@@ -182,7 +182,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		list := feed.KeyedPage{}
 		for i, life := range []string{"w1", "w2", "w3", "w4"} {
 			list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -96,7 +96,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1", "w2")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.earlierUnstored = true
 		b.uncertainLives["w1"] = b.workers["w1"]
 		b.majorityFencedAt = time.Now()
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.earlierUnstored, b.majorityFencedAt = true, time.Now()
 		for _, life := range []string{"w1", "w2", "w3"} {
 			b.uncertainLives[life] = b.workers[life]
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1", "w2", "w3")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		for _, life := range []string{"w1", "w2"} {
 			b.uncertainLives[life] = b.workers[life]
 		}
@@ -158,7 +158,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w2")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		b.majorityFencedAt = time.Now()
 		b.setCap(6000)
--- a/pool/takeover_test.go
+++ b/pool/takeover_test.go
@@ -41,8 +41,8 @@
 
 // connect connects a scheduler and an elector as an entry does.
 func connect(s *pool.Scheduler, e *lead.Elector) {
-	s.ConfirmedAt, s.Lost = e.ConfirmedAt, e.Lost
-	s.AnnounceUnstoredOrders, s.UnstoredOrdersAnnounced, s.PublishEarlierLeaders = e.SetLoose, e.LooseKept, e.SetEarlier
+	s.ConfirmedAt, s.Lost = e.ConfirmedAt, e.StepDown
+	s.AnnounceUnstoredOrders, s.UnstoredOrdersAnnounced, s.PublishEarlierLeaders = e.SetUnstored, e.UnstoredPublished, e.SetPredecessors
 }
 
 // history is a simulation with its entries and the jobs that clients have submitted.
