--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package peer links entries with each other.
+Package peer connects entries with each other.
 
-A Mesh keeps one outgoing link to each peer that it is told about and accepts
-links from others. A link is a TCP connection on which both sides prove that
-they know the shared secret; yamux then carries any number of streams:
+A Mesh maintains one outgoing link to each configured peer and accepts links
+from others. A link is a TCP connection on which both sides prove knowledge of
+a shared secret. It is then multiplexed with yamux:
 
 	s, err := mesh.Open(ctx, "entry-b", &peerpb.Open{...})
 	if err != nil {
-		// Nothing was sent: the work can go elsewhere.
+		// For ErrNoLink, nothing was sent and another peer can be tried.
 	}
 	err = s.Receive(&answer)
 
-Messages on a stream are protobuf, each with its length before it. The
-protocol is in docs/PROTOCOLS.md.
+Messages on a stream are length-prefixed protobuf. docs/PROTOCOLS.md describes
+the protocol.
 */
 package peer
--- a/peer/framing.go
+++ b/peer/framing.go
@@ -7,53 +7,54 @@
 	"net"
 )
 
-// The header of a yamux frame: version, type, flags, stream and length.
+// Layout of the yamux frame header: version, type, flags, stream ID and length.
 const (
-	frameHeader   = 12
-	frameType     = 1
-	frameLength   = 8
-	frameTypeData = 0
+	frameHeaderSize   = 12
+	frameTypeOffset   = 1
+	frameLengthOffset = 8
+	frameTypeData     = 0
 )
 
-// joinedConn writes the header and the body of a yamux data frame at once.
+// frameConn writes the header and the body of a yamux data frame with one call.
 //
-// The session writes them one after the other, which costs two calls here and wakes the other side twice. It writes from
-// one goroutine, and the body of a frame directly after its header.
-type joinedConn struct {
+// The yamux session writes them separately, which costs two system calls and wakes the peer twice. The session writes from a single
+// goroutine and always writes the body directly after its header.
+type frameConn struct {
 	net.Conn
-	// held is a header whose body comes with the next write.
-	held []byte
-	// frame is the buffer of the latest frame.
+	// header is a buffered frame header whose body follows with the next write; empty if none.
+	header []byte
+	// frame is a buffer reused between frames.
 	frame []byte
 }
 
-// Write writes p, or keeps it when it is the header of a data frame; what was kept goes before it.
-func (c *joinedConn) Write(p []byte) (int, error) {
-	if len(c.held) > 0 {
+// Write writes p, preceded by the buffered header if there is one. The header of a data frame is buffered instead of written.
+func (c *frameConn) Write(p []byte) (int, error) {
+	if len(c.header) > 0 {
 		return c.writeFrame(p)
 	}
-	if announcesBody(p) {
-		c.held = append(c.held, p...)
+	if isDataHeader(p) {
+		c.header = append(c.header, p...)
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// writeFrame writes the header that was kept and its body; it counts the body's bytes.
-func (c *joinedConn) writeFrame(body []byte) (int, error) {
-	head := len(c.held)
-	c.frame = append(append(c.frame[:0], c.held...), body...)
-	c.held = c.held[:0]
+// writeFrame writes the buffered header and the body. It returns the number of body bytes written.
+func (c *frameConn) writeFrame(body []byte) (int, error) {
+	headerSize := len(c.header)
+	c.frame = append(append(c.frame[:0], c.header...), body...)
+	c.header = c.header[:0]
 	n, err := c.Conn.Write(c.frame)
-	if cap(c.frame) > maxFrameKept {
+	if cap(c.frame) > maxRetainedBuffer {
 		c.frame = nil
 	}
-	return max(0, n-head), err
+	return max(0, n-headerSize), err
 }
 
-// maxFrameKept bounds the buffer that a link keeps between two frames, in bytes.
-const maxFrameKept = 64 << 10
+// maxRetainedBuffer limits the size of the buffer kept between frames, in bytes.
+const maxRetainedBuffer = 64 << 10
 
-func announcesBody(p []byte) bool {
-	return len(p) == frameHeader && p[frameType] == frameTypeData && binary.BigEndian.Uint32(p[frameLength:]) > 0
+// isDataHeader reports whether p is the header of a data frame with a body.
+func isDataHeader(p []byte) bool {
+	return len(p) == frameHeaderSize && p[frameTypeOffset] == frameTypeData && binary.BigEndian.Uint32(p[frameLengthOffset:]) > 0
 }
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -16,15 +16,15 @@
 	"rackstep.dev/peer/peerpb"
 )
 
-// ErrSecret means that the other side does not know the shared secret.
-var ErrSecret = errors.New("peer does not know the shared secret; set the same peer_secret in every entry's settings")
+// ErrSecretMismatch means that the peer has a different shared secret.
+var ErrSecretMismatch = errors.New("peer has a different shared secret; set the same peer_secret in the settings of every entry")
 
 const (
-	nonceSize = 16
-	maxHello  = 1 << 10
+	nonceSize    = 16
+	maxHelloSize = 1 << 10
 )
 
-// byteReader reads single bytes, so that nothing after a message is taken from the connection.
+// byteReader reads single bytes so that decoding a message consumes nothing beyond it.
 type byteReader struct{ net.Conn }
 
 // ReadByte returns the next byte of the connection.
@@ -36,15 +36,15 @@
 
 var _ protodelim.Reader = byteReader{}
 
-// handshake proves both sides to each other: first the dialling side, which speaks first, then the accepting one.
+// handshake authenticates both sides with the shared secret and returns the identity of the peer. The dialling side sends first.
 //
-// Each proof covers the nonce of the other side and the prover's name and role, so that none can be reflected.
+// Each proof is an HMAC over the verifier's nonce and the prover's identity and role, so a proof cannot be reflected to its sender.
 func (m *Mesh) handshake(conn net.Conn, dialled bool) (Identity, error) {
-	if err := conn.SetDeadline(time.Now().Add(helloTimeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return Identity{}, fmt.Errorf("peer handshake: %w", err)
 	}
 	nonce := make([]byte, nonceSize)
-	_, _ = rand.Read(nonce) // it never fails, says its documentation
+	_, _ = rand.Read(nonce) // crypto/rand.Read never returns an error
 	mine := &peerpb.Hello{Entry: m.Self.Entry, DataCentre: m.Self.DataCentre, Boot: m.Self.Boot, Nonce: nonce}
 	var theirs, proof peerpb.Hello
 	if err := exchange(conn, dialled, mine, &theirs); err != nil {
@@ -54,7 +54,7 @@
 		return Identity{}, err
 	}
 	if !hmac.Equal(proof.Proof, m.proof(nonce, &theirs, !dialled)) {
-		return Identity{}, ErrSecret
+		return Identity{}, ErrSecretMismatch
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return Identity{}, fmt.Errorf("peer handshake: %w", err)
@@ -62,7 +62,7 @@
 	return Identity{Entry: theirs.Entry, DataCentre: theirs.DataCentre, Boot: theirs.Boot}, nil
 }
 
-// exchange sends one message and receives one; the dialling side sends first.
+// exchange sends one message and receives one. The dialling side sends first.
 func exchange(conn net.Conn, dialled bool, mine, theirs *peerpb.Hello) error {
 	if !dialled {
 		if err := receiveHello(conn, theirs); err != nil {
@@ -79,12 +79,13 @@
 }
 
 func receiveHello(conn net.Conn, h *peerpb.Hello) error {
-	if err := (protodelim.UnmarshalOptions{MaxSize: maxHello}).UnmarshalFrom(byteReader{conn}, h); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxHelloSize}).UnmarshalFrom(byteReader{conn}, h); err != nil {
 		return fmt.Errorf("peer handshake: %w", err)
 	}
 	return nil
 }
 
+// proof returns the prover's HMAC over the verifier's nonce; dialled is whether the prover dialled.
 func (m *Mesh) proof(nonce []byte, prover *peerpb.Hello, dialled bool) []byte {
 	mac := hmac.New(sha256.New, m.Secret)
 	fmt.Fprintf(mac, "%x|%t|%q|%q|%q", nonce, dialled, prover.Entry, prover.DataCentre, prover.Boot)
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -22,39 +22,39 @@
 	"rackstep.dev/peer/peerpb"
 )
 
-// ErrNoLink means that there is no link to the peer and nothing was sent.
-var ErrNoLink = errors.New("no link to the peer; the work was not sent")
+// ErrNoLink means that there is no usable link to the peer and nothing was sent.
+var ErrNoLink = errors.New("no link to the peer; nothing was sent")
 
-// Address names a peer and where it listens.
+// Address is the name of a peer and the address on which it listens.
 type Address struct {
 	Entry string
 	// Address is an IP address and a port.
 	Address string
 }
 
-// Identity is what a peer proved about itself.
+// Identity is the authenticated identity of an entry.
 type Identity struct {
 	Entry, DataCentre, Boot string
 }
 
-// Mesh holds the links of one entry.
+// Mesh maintains the links between one entry and its peers.
 type Mesh struct {
 	Self Identity
-	// Secret is shared by all entries of a site.
+	// Secret is the shared secret of all entries of a site.
 	Secret []byte
-	// TLS protects the links in both directions; none when nil.
+	// TLS encrypts incoming and outgoing links; nil disables TLS.
 	TLS *tls.Config
 	// Listener accepts links from peers.
 	Listener net.Listener
-	// Serve answers one stream; the stream is closed when it returns.
+	// Serve handles one conversation that a peer opened. After it returns, the stream is reused for the next conversation or closed.
 	Serve func(ctx context.Context, from Identity, open *peerpb.Open, s *Stream)
-	// Dial opens a connection; a net.Dialer's when nil.
+	// Dial opens a connection; nil uses the default dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Cut says that no bytes may pass to or from the address; a fault switch of tests, nil in operation.
+	// Partitioned reports whether communication with the entry is blocked. Tests use it to inject faults; it is nil in operation.
 	Cut func(entry string) bool
-	// Events receives link events.
+	// Events receives an event when a link goes up or down.
 	Events *event.Ring
-	// Meter counts the bytes of all links; may be nil.
+	// Meter counts the bytes on all links; may be nil.
 	Meter *meter.Meter
 
 	mu      sync.Mutex
@@ -64,23 +64,23 @@
 }
 
 type link struct {
-	address Address
-	cancel  context.CancelFunc
-	session *yamux.Session // nil while the link is down
-	refused int            // connections in a row that the peer's host refused
-	idle    []*Stream      // of the session, with no conversation
+	address  Address
+	cancel   context.CancelFunc
+	session  *yamux.Session // nil while disconnected
+	refusals int            // consecutive connection attempts refused by the peer's host
+	idle     []*Stream      // streams of the session without a conversation
 }
 
-// maxIdle bounds the streams that a link keeps for later conversations.
-const maxIdle = 16
+// maxIdleStreams limits the idle streams that a link keeps for reuse.
+const maxIdleStreams = 16
 
-// Times of a Mesh.
+// Timeouts and limits of links.
 const (
-	dialTimeout  = time.Second
-	redialPause  = 300 * time.Millisecond
-	helloTimeout = 2 * time.Second
-	// refusedToGone is the number of refused connections in a row after which a peer's process counts as ended.
-	refusedToGone = 3
+	dialTimeout      = time.Second
+	redialPause      = 300 * time.Millisecond
+	handshakeTimeout = 2 * time.Second
+	// maxRefusals is the number of consecutive refused connections after which the peer's process counts as exited.
+	maxRefusals = 3
 )
 
 func sessionConfig() *yamux.Config {
@@ -94,28 +94,29 @@
 	return c
 }
 
-// Run accepts links until the context ends, then closes every link and returns the context's error.
+// Run accepts links until ctx is done, then closes all links and returns the context's error.
 func (m *Mesh) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = m.Listener.Close() })
 	defer stop()
 	for {
 		conn, err := m.Listener.Accept()
 		if err != nil {
-			m.shutDown()
+			m.shutdown()
 			return errors.Join(ctx.Err(), ignoreClosed(err))
 		}
-		m.work.Go(func() { m.accepted(ctx, m.Meter.Conn(conn)) })
+		m.work.Go(func() { m.serveConn(ctx, m.Meter.Conn(conn)) })
 	}
 }
 
+// ignoreClosed returns nil if the listener was closed, and wraps any other error of Accept.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
 	}
-	return fmt.Errorf("accept peers: %w", err)
+	return fmt.Errorf("accept peer connections: %w", err)
 }
 
-func (m *Mesh) shutDown() {
+func (m *Mesh) shutdown() {
 	m.mu.Lock()
 	m.closing = true
 	for _, l := range m.links {
@@ -125,18 +126,19 @@
 	m.work.Wait()
 }
 
-func (m *Mesh) accepted(ctx context.Context, conn net.Conn) {
+// serveConn authenticates an accepted connection and serves its streams until it ends.
+func (m *Mesh) serveConn(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	raw := conn
-	defer context.AfterFunc(ctx, func() { _ = raw.Close() })() // a handshake must not hold up a stop
+	defer context.AfterFunc(ctx, func() { _ = raw.Close() })() // a pending handshake must not delay shutdown
 	if m.TLS != nil {
 		conn = tls.Server(conn, m.TLS)
 	}
 	from, err := m.handshake(conn, false)
-	if err != nil || m.cut(from.Entry) {
+	if err != nil || m.isPartitioned(from.Entry) {
 		return
 	}
-	session, err := yamux.Server(&joinedConn{Conn: conn}, sessionConfig())
+	session, err := yamux.Server(&frameConn{Conn: conn}, sessionConfig())
 	if err != nil {
 		return
 	}
@@ -160,7 +162,7 @@
 	}
 }
 
-// serveStream answers one conversation after another until the stream ends.
+// serveStream serves consecutive conversations until the stream ends.
 func (m *Mesh) serveStream(ctx context.Context, from Identity, conn net.Conn) {
 	s := newStream(conn)
 	s.bind(ctx)
@@ -169,16 +171,16 @@
 	if s.Receive(open) != nil {
 		return
 	}
-	for open != nil && !m.cut(from.Entry) {
-		open = m.converse(ctx, from, open, s)
+	for open != nil && !m.isPartitioned(from.Entry) {
+		open = m.serveConversation(ctx, from, open, s)
 	}
 }
 
-// converse answers one conversation and returns the first message of the next, or nil at the stream's end.
+// serveConversation serves one conversation and returns the opening message of the next one, or nil at the end of the stream.
 //
-// The other side sends nothing more before it has the whole answer, so what comes is the next conversation or the end;
-// the end cancels.
-func (m *Mesh) converse(ctx context.Context, from Identity, open *peerpb.Open, s *Stream) *peerpb.Open {
+// The peer sends nothing more until it has the complete response. Whatever arrives meanwhile is therefore the next opening message or
+// the end of the stream, which cancels the conversation.
+func (m *Mesh) serveConversation(ctx context.Context, from Identity, open *peerpb.Open, s *Stream) *peerpb.Open {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	next := make(chan *peerpb.Open, 1)
@@ -194,9 +196,9 @@
 	return <-next
 }
 
-func (m *Mesh) cut(entry string) bool { return m.Cut != nil && m.Cut(entry) }
+func (m *Mesh) isPartitioned(entry string) bool { return m.Cut != nil && m.Cut(entry) }
 
-// SetPeers says to which peers links are to be kept; links to others are closed.
+// SetPeers sets the peers to maintain links to. Links to other peers are closed.
 func (m *Mesh) SetPeers(ctx context.Context, peers []Address) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -225,6 +227,7 @@
 	}
 }
 
+// startLink maintains a link to the peer in a new goroutine until ctx is done. m.mu must be held.
 func (m *Mesh) startLink(ctx context.Context, a Address) {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &link{address: a, cancel: cancel}
@@ -232,7 +235,7 @@
 	m.work.Go(func() {
 		defer cancel()
 		for ctx.Err() == nil {
-			m.keepLink(ctx, l)
+			m.maintainLink(ctx, l)
 			select {
 			case <-ctx.Done():
 			case <-time.After(redialPause):
@@ -241,10 +244,10 @@
 	})
 }
 
-// keepLink holds one connection to the peer until it ends.
-func (m *Mesh) keepLink(ctx context.Context, l *link) {
+// maintainLink connects to the peer and returns when the connection ends.
+func (m *Mesh) maintainLink(ctx context.Context, l *link) {
 	session, err := m.connect(ctx, l.address)
-	m.countRefused(l, err)
+	m.countRefusals(l, err)
 	if err != nil {
 		return
 	}
@@ -259,23 +262,24 @@
 	m.Events.Emit(event.PeerDown, event.Subject{Entry: l.address.Entry}, "")
 }
 
-func (m *Mesh) countRefused(l *link, err error) {
+// countRefusals counts consecutive refused connections; any other result resets the count.
+func (m *Mesh) countRefusals(l *link, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		l.refused++
+		l.refusals++
 		return
 	}
-	l.refused = 0
+	l.refusals = 0
 }
 
-// Gone returns the peers whose hosts answer that nothing listens there any more, in order of their names.
+// ExitedPeers returns the peers whose hosts repeatedly refused connections, sorted by name. Their processes have most likely exited.
 func (m *Mesh) Gone() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var gone []string
 	for entry, l := range m.links {
-		if l.refused >= refusedToGone {
+		if l.refusals >= maxRefusals {
 			gone = append(gone, entry)
 		}
 	}
@@ -291,7 +295,7 @@
 }
 
 func (m *Mesh) connect(ctx context.Context, a Address) (*yamux.Session, error) {
-	if m.cut(a.Entry) {
+	if m.isPartitioned(a.Entry) {
 		return nil, ErrNoLink
 	}
 	dial := m.Dial
@@ -312,7 +316,7 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	session, err := yamux.Client(&joinedConn{Conn: conn}, sessionConfig())
+	session, err := yamux.Client(&frameConn{Conn: conn}, sessionConfig())
 	if err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("link to %s: %w", a.Entry, err)
@@ -320,7 +324,7 @@
 	return session, nil
 }
 
-// clientTLS verifies the peer's certificate against the IP address that was dialled.
+// clientTLS returns a TLS configuration that verifies the peer's certificate against the dialled IP address.
 func (m *Mesh) clientTLS(address string) *tls.Config {
 	c := m.TLS.Clone()
 	host, _, err := net.SplitHostPort(address)
@@ -330,13 +334,13 @@
 	return c
 }
 
-// Up returns the peers with an open link, in order of their names.
+// ConnectedPeers returns the peers with an open outgoing link, sorted by name.
 func (m *Mesh) Up() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var up []string
 	for entry, l := range m.links {
-		if l.session != nil && !m.cut(entry) {
+		if l.session != nil && !m.isPartitioned(entry) {
 			up = append(up, entry)
 		}
 	}
@@ -344,7 +348,7 @@
 	return up
 }
 
-// Open starts a conversation with the peer and sends its first message; ErrNoLink means that nothing was sent.
+// Open starts a conversation with the peer and sends its opening message. ErrNoLink means that nothing was sent.
 func (m *Mesh) Open(ctx context.Context, entry string, open *peerpb.Open) (*Stream, error) {
 	s, err := m.stream(entry)
 	if err != nil {
@@ -362,7 +366,7 @@
 func (m *Mesh) stream(entry string) (*Stream, error) {
 	m.mu.Lock()
 	l := m.links[entry]
-	if l == nil || l.session == nil || m.cut(entry) {
+	if l == nil || l.session == nil || m.isPartitioned(entry) {
 		m.mu.Unlock()
 		return nil, ErrNoLink
 	}
@@ -379,14 +383,14 @@
 		return nil, fmt.Errorf("%w: %w", ErrNoLink, err)
 	}
 	s := newStream(conn)
-	s.idle = func(s *Stream) { m.keep(l, session, s) }
+	s.recycle = func(s *Stream) { m.keepIdle(l, session, s) }
 	return s, nil
 }
 
-// keep takes a stream back if its session is still the link's.
-func (m *Mesh) keep(l *link, session *yamux.Session, s *Stream) {
+// keepIdle keeps a stream for reuse if its session is still the link's current one. Otherwise it closes the stream.
+func (m *Mesh) keepIdle(l *link, session *yamux.Session, s *Stream) {
 	m.mu.Lock()
-	ok := l.session == session && len(l.idle) < maxIdle
+	ok := l.session == session && len(l.idle) < maxIdleStreams
 	if ok {
 		l.idle = append(l.idle, s)
 	}
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -12,41 +12,41 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxMessage bounds one message on a stream, in bytes.
+// MaxMessage limits the size of a message on a stream, in bytes.
 const MaxMessage = 16 << 20
 
-// Stream is one conversation with a peer; it is used by one goroutine at a time in each direction.
+// Stream carries one conversation at a time with a peer. Each direction may be used by one goroutine at a time.
 type Stream struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	stop   func() bool
-	// idle takes the stream back for another conversation; nil on the side that accepted it.
-	idle func(*Stream)
+	// recycle returns the stream to the link for another conversation; nil on the accepting side.
+	recycle func(*Stream)
 }
 
 func newStream(conn net.Conn) *Stream {
 	return &Stream{conn: conn, reader: bufio.NewReader(conn), stop: func() bool { return true }}
 }
 
-// bind closes the stream when the context ends.
+// bind closes the stream when ctx is done.
 func (s *Stream) bind(ctx context.Context) {
 	s.stop = context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 }
 
-// Release ends a conversation whose last message was received, and keeps the stream for another one.
+// Release ends a conversation whose last message was received and keeps the stream for reuse.
 //
-// A stream whose conversation was broken off must be closed instead.
+// A stream whose conversation was aborted must be closed instead.
 func (s *Stream) Release() {
-	if s.idle == nil || !s.stop() {
+	if s.recycle == nil || !s.stop() {
 		s.Close()
 		return
 	}
-	s.idle(s)
+	s.recycle(s)
 }
 
 // Send writes one message.
 func (s *Stream) Send(m proto.Message) error {
-	b, err := protodelimBytes(m)
+	b, err := encodeDelimited(m)
 	if err != nil {
 		return err
 	}
@@ -56,25 +56,27 @@
 	return nil
 }
 
-// protodelimBytes returns the message in one piece, so that it leaves in one write.
-func protodelimBytes(m proto.Message) ([]byte, error) {
+// encodeDelimited returns the length-prefixed message in one buffer so that it is sent with one write.
+func encodeDelimited(m proto.Message) ([]byte, error) {
 	n := proto.Size(m)
 	if n > MaxMessage {
-		return nil, fmt.Errorf("message of %d bytes is over the limit of %d", n, MaxMessage)
+		return nil, fmt.Errorf("message of %d bytes exceeds the limit of %d bytes", n, MaxMessage)
 	}
-	w := writer(make([]byte, 0, n+binaryOverhead))
+	w := sliceWriter(make([]byte, 0, n+maxPrefixBytes))
 	if _, err := protodelim.MarshalTo(&w, m); err != nil {
 		return nil, fmt.Errorf("encode message: %w", err)
 	}
 	return w, nil
 }
 
-const binaryOverhead = 10
+// maxPrefixBytes is the maximum size of the varint length prefix.
+const maxPrefixBytes = 10
 
-type writer []byte
+// sliceWriter is an io.Writer that appends to a slice.
+type sliceWriter []byte
 
-// Write appends p; it never fails.
-func (w *writer) Write(p []byte) (int, error) {
+// Write appends p. It never returns an error.
+func (w *sliceWriter) Write(p []byte) (int, error) {
 	*w = append(*w, p...)
 	return len(p), nil
 }
