--- a/provider/client.go
+++ b/provider/client.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Client calls the platform; its methods may be used by several goroutines.
+// Client is the client of the platform's HTTP interface. It is safe for concurrent use.
 type Client struct {
-	// URL is the platform's base address.
+	// URL is the base URL of the platform.
 	URL string
-	// HTTP sends the requests; http.DefaultClient when nil.
+	// HTTP sends the requests; nil uses http.DefaultClient.
 	HTTP *http.Client
-	// Timeout bounds one call; 2s when 0.
+	// Timeout limits one call; 0 means 2 seconds.
 	Timeout time.Duration
 }
 
-// Role tells the two kinds of listed instances apart.
+// Role is the kind of a listed instance.
 type Role string
 
 // Roles of a listed instance.
@@ -33,7 +33,7 @@
 	RoleEntry  Role = "entry"
 )
 
-// Listed is one row of the instance list; the list lags.
+// Instance is one row of the instance list, which may lag behind the actual state.
 type Listed struct {
 	ID         string `json:"id"`
 	Role       Role   `json:"role"`
@@ -43,27 +43,27 @@
 	Address  string `json:"address"`
 	Cores    int    `json:"cores"`
 	MemoryMB int    `json:"memory_mb"`
-	// Leaving says that the platform will take the instance away.
+	// Leaving means that the platform is going to remove the instance.
 	Leaving bool `json:"leaving"`
-	// Boot tells two lives of an entry instance apart.
+	// Boot changes whenever an entry instance restarts.
 	Boot string `json:"boot"`
 }
 
-// CommandState is what the platform says of a command.
+// CommandState is the state of a command as reported by the platform.
 type CommandState string
 
 // States of a command.
 const (
-	CommandUnknown CommandState = "unknown" // never seen; it may still arrive until its NotAfter
+	CommandUnknown CommandState = "unknown" // never received; may still arrive until its NotAfter
 	CommandRunning CommandState = "running"
 	CommandDone    CommandState = "done"
-	CommandExpired CommandState = "expired" // it arrived after its NotAfter and did nothing
+	CommandExpired CommandState = "expired" // received after its NotAfter and not executed
 )
 
-// Verb is what a command does to its instance.
+// Verb is the action that a command performs on its instance.
 type Verb string
 
-// Verbs of a Command.
+// Verbs of commands.
 const (
 	VerbReboot Verb = "reboot"
 	VerbStop   Verb = "stop"
@@ -72,80 +72,80 @@
 // Command is a one-shot action on an instance.
 type Command struct {
 	Verb Verb `json:"verb"`
-	// NotAfter is when the platform must no longer begin the command, by the platform's clock.
+	// NotAfter is the time, by the platform's clock, after which the platform must not begin the command.
 	NotAfter time.Time `json:"not_after"`
 }
 
-// TaskState is what the platform says of a task.
+// TaskState is the state of a task as reported by the platform.
 type TaskState string
 
 // States of a task.
 const (
-	TaskUnknown      TaskState = "unknown" // never seen; a start may still arrive
+	TaskUnknown      TaskState = "unknown" // never received; a start may still arrive
 	TaskRunning      TaskState = "running"
 	TaskDone         TaskState = "done"
 	TaskFailed       TaskState = "failed"
 	TaskStopped      TaskState = "stopped"
 	TaskCheckpointed TaskState = "checkpointed"
-	TaskVoid         TaskState = "void" // it never began and never will
+	TaskVoid         TaskState = "void" // never started, and never will
 )
 
-// Task is a piece of work under a lease.
+// Task describes a task to run under a lease.
 type Task struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int    `json:"memory_mb"`
 	Command  string `json:"command"`
-	// Continue resumes from the checkpoint of an earlier attempt.
+	// Continue resumes the task from the checkpoint of an earlier attempt.
 	Continue bool `json:"continue"`
-	// Lease is how long the task may run without a renewal, in nanoseconds.
+	// Lease is the time for which the task may run without a renewal, in nanoseconds.
 	Lease time.Duration `json:"lease"`
 	// Limit is the number of cores that the task may use from now on; as many as it finds when 0.
 	Limit int `json:"limit,omitempty"`
 }
 
-// Usage is what a task used a while ago; the platform reports it with a lag.
+// Usage is the resource usage of a task, which the platform reports with a delay.
 type Usage struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	// Ran is how long the task had run, in nanoseconds.
+	// RunTime is how long the task had run when it was measured, in nanoseconds.
 	Ran time.Duration `json:"ran"`
 }
 
-// TaskReport is the platform's answer about a task.
+// TaskReport is the platform's report on a task.
 type TaskReport struct {
 	State TaskState `json:"state"`
-	// Usage is nil when the platform does not know it yet.
+	// Usage is nil while it is not known yet.
 	Usage *Usage `json:"usage"`
 }
 
-// Hold renews the leases of tasks of one instance.
+// Hold is a request to renew the leases of tasks on one instance.
 type Hold struct {
-	// Lease is how long each may run without another renewal, in nanoseconds.
+	// Lease is the time for which each task may run without another renewal, in nanoseconds.
 	Lease time.Duration `json:"lease"`
-	// Wait is how long the answer may wait for one of them to end, in nanoseconds.
+	// Wait is the maximum time for which the response is held back until a task ends, in nanoseconds.
 	Wait time.Duration `json:"wait"`
-	// Tasks are the tasks by ID.
+	// Tasks holds the tasks by ID.
 	Tasks map[string]HoldTask `json:"tasks"`
 }
 
-// HoldTask is what a Hold says of one task.
+// HoldTask is the part of a Hold that concerns one task.
 type HoldTask struct {
 	// Limit is the number of cores that the task may use from now on; as many as it finds when 0.
 	Limit int `json:"limit,omitempty"`
 }
 
-// List is an answer of the instance list.
+// InstanceList is a response with the instance list.
 type List struct {
 	Instances []Listed
-	// Tag names the answer (an HTTP entity tag); empty when the platform gives none.
+	// Tag is the HTTP entity tag of the response; empty if there was none.
 	Tag string
-	// Compressed says that the answer travelled compressed.
+	// Compressed means that the response body was compressed in transit.
 	Compressed bool
-	// Unchanged says that the list is still the one with the tag asked about; Instances is then empty.
+	// Unchanged means that the list still has the requested tag. Instances is then empty.
 	Unchanged bool
 }
 
-// Instances returns the list of live and leaving instances, or says that it is still the one with the tag.
+// Instances returns the list of live and leaving instances. If the list still has the given tag, Unchanged is set instead.
 func (c *Client) Instances(ctx context.Context, tag string) (List, error) {
 	var answer struct {
 		Instances []Listed `json:"instances"`
@@ -158,15 +158,15 @@
 	if errors.Is(err, errNotModified) {
 		return List{Tag: tag, Unchanged: true}, nil
 	}
-	return List{Instances: answer.Instances, Tag: got.Get("ETag"), Compressed: got.Get(compressedMark) != ""}, err
+	return List{Instances: answer.Instances, Tag: got.Get("ETag"), Compressed: got.Get(compressedHeader) != ""}, err
 }
 
-// Run asks for the command and returns its state; the same ID runs once.
+// RunCommand requests the command and returns its state. The platform executes a command ID at most once.
 func (c *Client) Run(ctx context.Context, instance, id string, cmd Command) (CommandState, error) {
 	return c.command(ctx, http.MethodPut, instance, id, cmd)
 }
 
-// Command returns the state of the command.
+// Command returns the state of a command.
 func (c *Client) Command(ctx context.Context, instance, id string) (CommandState, error) {
 	return c.command(ctx, http.MethodGet, instance, id, nil)
 }
@@ -180,26 +180,27 @@
 	return answer.State, err
 }
 
-// StartTask starts the task or renews its lease and returns what is known of it; the same ID runs once.
+// StartTask starts the task, or renews its lease if it is already known, and returns its report. The platform runs a task ID at most once.
 func (c *Client) StartTask(ctx context.Context, instance, id string, t Task) (TaskReport, error) {
 	return c.task(ctx, http.MethodPut, instance, id, "", t)
 }
 
-// Hold renews the leases and returns what is known of each task: as soon as one of them does not run, or after the wait.
+// RenewLeases renews the leases and returns a report on each task. It responds as soon as one of the tasks is not running, or after h.Wait.
 func (c *Client) Hold(ctx context.Context, instance string, h Hold) (map[string]TaskReport, error) {
 	var answer struct {
 		Tasks map[string]TaskReport `json:"tasks"`
 	}
-	waiting := *c
-	waiting.Timeout = c.timeout() + h.Wait
-	err := waiting.call(ctx, http.MethodPost, "/v1/instances/"+url.PathEscape(instance)+"/hold", h, &answer)
+	longPoll := *c
+	longPoll.Timeout = c.timeout() + h.Wait
+	err := longPoll.call(ctx, http.MethodPost, "/v1/instances/"+url.PathEscape(instance)+"/hold", h, &answer)
 	if errors.Is(err, errNoInstance) {
-		return stopped(h.Tasks), nil // the platform has taken the instance away, and what ran on it
+		return allStopped(h.Tasks), nil // the instance was removed, along with its tasks
 	}
 	return answer.Tasks, err
 }
 
-func stopped(tasks map[string]HoldTask) map[string]TaskReport {
+// allStopped reports every task as stopped.
+func allStopped(tasks map[string]HoldTask) map[string]TaskReport {
 	reports := make(map[string]TaskReport, len(tasks))
 	for id := range tasks {
 		reports[id] = TaskReport{State: TaskStopped}
@@ -207,17 +208,17 @@
 	return reports
 }
 
-// Task returns what is known of the task.
+// Task returns the report on a task.
 func (c *Client) Task(ctx context.Context, instance, id string) (TaskReport, error) {
 	return c.task(ctx, http.MethodGet, instance, id, "", nil)
 }
 
-// Checkpoint stops the task with its progress kept and returns its state.
+// Checkpoint saves the progress of the task, stops it and returns its report.
 func (c *Client) Checkpoint(ctx context.Context, instance, id string) (TaskReport, error) {
 	return c.task(ctx, http.MethodPost, instance, id, "/checkpoint", nil)
 }
 
-// StopTask stops the task, or makes its ID unusable when it has not begun, and returns its final state.
+// StopTask stops the task and returns its final report. If the task has not started, its ID becomes void and can never run.
 func (c *Client) StopTask(ctx context.Context, instance, id string) (TaskReport, error) {
 	return c.task(ctx, http.MethodDelete, instance, id, "", nil)
 }
@@ -227,7 +228,7 @@
 	path := "/v1/instances/" + url.PathEscape(instance) + "/tasks/" + url.PathEscape(id) + suffix
 	err := c.call(ctx, method, path, body, &answer)
 	if errors.Is(err, errNoInstance) {
-		return TaskReport{State: TaskStopped}, nil // the platform has taken the instance away, and what ran on it
+		return TaskReport{State: TaskStopped}, nil // the instance was removed, along with its tasks
 	}
 	return answer, err
 }
@@ -235,17 +236,18 @@
 // errNoInstance means that the platform does not know the instance.
 var errNoInstance = errors.New("the platform does not know the instance")
 
-const maxAnswer = 16 << 20
+// maxResponseBytes limits the size of a response body.
+const maxResponseBytes = 16 << 20
 
 func (c *Client) call(ctx context.Context, method, path string, body, answer any) error {
 	_, err := c.do(ctx, method, path, http.Header{}, body, answer)
 	return err
 }
 
-// compressedMark stands in the returned headers of an answer that travelled compressed.
-const compressedMark = "Rackstep-Compressed"
+// compressedHeader is added to the returned headers of a response that was compressed in transit.
+const compressedHeader = "Rackstep-Compressed"
 
-// errNotModified means that the answer is the one that the tag names.
+// errNotModified means that the resource still has the requested entity tag.
 var errNotModified = errors.New("not modified")
 
 func (c *Client) timeout() time.Duration {
@@ -291,11 +293,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("platform %s %s: status %d", method, path, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(answer); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(answer); err != nil {
 		return nil, fmt.Errorf("platform %s %s: %w", method, path, err)
 	}
 	if resp.Uncompressed {
-		resp.Header.Set(compressedMark, "yes") // the transport has taken the encoding's own header away
+		resp.Header.Set(compressedHeader, "yes") // the transport removes Content-Encoding when it decompresses
 	}
 	return resp.Header, nil
 }
--- a/provider/client_test.go
+++ b/provider/client_test.go
@@ -12,53 +12,55 @@
 	"github.com/frankban/quicktest"
 )
 
-// answers is a transport that gives one answer to everything.
-type answers struct {
+// fixedResponse is a transport that returns the same response to every request.
+type fixedResponse struct {
 	status int
 	body   []byte
 }
 
-func (a answers) RoundTrip(*http.Request) (*http.Response, error) {
+func (a fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: a.status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(a.body))}, nil
 }
 
-func clientOf(status int, body []byte) *Client {
-	return &Client{URL: "http://127.0.0.1:1", HTTP: &http.Client{Transport: answers{status, body}}}
+func newFixedClient(status int, body []byte) *Client {
+	return &Client{URL: "http://127.0.0.1:1", HTTP: &http.Client{Transport: fixedResponse{status, body}}}
 }
 
+// TestATaskOfAnInstanceThatHasGoneIsStopped checks that 404 for the instance counts as a stopped task and not as an error.
 func TestATaskOfAnInstanceThatHasGoneIsStopped(t *testing.T) {
 	c := quicktest.New(t)
-	r, err := clientOf(404, nil).Task(context.Background(), "i", "j.1")
+	r, err := newFixedClient(404, nil).Task(context.Background(), "i", "j.1")
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(r, quicktest.DeepEquals, TaskReport{State: TaskStopped})
 }
 
+// TestUsageIsUnknownWhenThePlatformLeavesItOut checks that missing usage is nil and not zero usage.
 func TestUsageIsUnknownWhenThePlatformLeavesItOut(t *testing.T) {
 	c := quicktest.New(t)
-	r, err := clientOf(200, []byte(`{"state":"running"}`)).StartTask(context.Background(), "i", "j.1", Task{})
+	r, err := newFixedClient(200, []byte(`{"state":"running"}`)).StartTask(context.Background(), "i", "j.1", Task{})
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(r.Usage, quicktest.IsNil)
-	r, err = clientOf(200, []byte(`{"state":"running","usage":{"cores":1.5,"memory_mb":20,"ran":1000}}`)).Task(context.Background(), "i", "j.1")
+	r, err = newFixedClient(200, []byte(`{"state":"running","usage":{"cores":1.5,"memory_mb":20,"ran":1000}}`)).Task(context.Background(), "i", "j.1")
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(*r.Usage, quicktest.Equals, Usage{Cores: 1.5, MemoryMB: 20, Ran: 1000})
 }
 
-// FuzzAnswers reads whatever the platform may say about instances, commands and tasks.
+// FuzzAnswers returns arbitrary responses to calls for instances, commands and tasks. A call must not succeed on an unexpected status.
 func FuzzAnswers(f *testing.F) {
 	f.Add(200, []byte(`{"instances":[{"id":"i","role":"worker","cores":4}]}`))
 	f.Add(200, []byte(`{"state":"running","usage":{"cores":-1}}`))
 	f.Add(304, []byte(``))
 	f.Fuzz(func(t *testing.T, status int, body []byte) {
-		p := clientOf(status, body)
+		p := newFixedClient(status, body)
 		ctx := context.Background()
 		if l, err := p.Instances(ctx, "tag"); err == nil && status != http.StatusOK && !l.Unchanged {
-			t.Fatalf("status %d was taken for a list", status)
+			t.Fatalf("status %d was accepted as a list", status)
 		}
 		if s, err := p.Command(ctx, "i", "c"); err == nil && status != http.StatusOK {
-			t.Fatalf("status %d was taken for state %q", status, s)
+			t.Fatalf("status %d was accepted as state %q", status, s)
 		}
 		if r, err := p.Task(ctx, "i", "t"); err == nil && status != http.StatusOK && r.State != TaskStopped {
-			t.Fatalf("status %d was taken for state %q", status, r.State)
+			t.Fatalf("status %d was accepted as state %q", status, r.State)
 		}
 	})
 }
