--- a/cmd/rackstep/explain.go
+++ b/cmd/rackstep/explain.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	story := event.Story(args[0], logs)
+	story := event.JobHistory(args[0], logs)
 	for _, l := range story {
 		fmt.Println(l)
 	}
@@ -39,8 +39,8 @@
 }
 
 // readLogs reads the logs of several entries.
-func readLogs(names []string) ([][]event.Line, error) {
-	var logs [][]event.Line
+func readLogs(names []string) ([][]event.LogLine, error) {
+	var logs [][]event.LogLine
 	for _, name := range names {
 		lines, err := readLog(name)
 		if err != nil {
@@ -51,7 +51,7 @@
 	return logs, nil
 }
 
-func readLog(name string) ([]event.Line, error) {
+func readLog(name string) ([]event.LogLine, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
--- a/cmd/rackstep/leads.go
+++ b/cmd/rackstep/leads.go
@@ -27,7 +27,7 @@
 		return cli.Exit(err, exitUsage)
 	}
 	found := event.Leaders(logs...)
-	if len(found.Leads) == 0 {
+	if len(found.Terms) == 0 {
 		return cli.Exit("no lead was taken in these logs; give the logs of all entries", exitFailed)
 	}
 	if err := found.Write(os.Stdout); err != nil {
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// Number identifies a kind of event for good.
+// Number identifies a kind of event. A number is never reused or given another meaning.
 type Number int
 
-// Numbers of all events.
+// Event numbers, grouped by hundreds: the entry, the log, the configuration, plans, jobs, requests and targets, the
+// instance list, and scheduling on the users' platform.
 const (
 	EntryStarted         Number = 100
 	EntryReady           Number = 101
@@ -94,103 +95,103 @@
 	LinkUsed             Number = 854
 )
 
-// Kind describes one Number for the catalogue.
+// Kind is the catalogue entry of one Number.
 type Kind struct {
 	Number Number
 	Name   string
-	// Meaning says what happened, Remedy what a person should do, if anything.
+	// Meaning describes what happened, Remedy what an operator should do about it.
 	Meaning, Remedy string
 }
 
-// Catalogue returns every kind in the order of its number.
+// Catalogue returns the kinds of all events.
 func Catalogue() []Kind { return kinds[:] }
 
-const nothing = "nothing"
+const noAction = "nothing"
 
 var kinds = [...]Kind{
-	{EntryStarted, "entry-started", "The process has read its settings.", nothing},
-	{EntryReady, "entry-ready", "The entry has its tables and serves callers.", nothing},
-	{EntryStopping, "entry-stopping", "A planned stop has begun; the entry is no longer ready.", nothing},
-	{EntryStopped, "entry-stopped", "The last request has ended and the entry has left.", nothing},
-	{EntryJoined, "entry-joined", "The fold has admitted an entry; drains now wait for it.", nothing},
-	{EntryGone, "entry-gone", "An entry has left, or the platform no longer lists it.", nothing},
+	{EntryStarted, "entry-started", "The process has read its settings.", noAction},
+	{EntryReady, "entry-ready", "The entry has its tables and serves callers.", noAction},
+	{EntryStopping, "entry-stopping", "A planned stop has begun; the entry is no longer ready.", noAction},
+	{EntryStopped, "entry-stopped", "The last request has ended and the entry has left.", noAction},
+	{EntryJoined, "entry-joined", "The fold has admitted an entry; drains now wait for it.", noAction},
+	{EntryGone, "entry-gone", "An entry has left, or the platform no longer lists it.", noAction},
 	{MachineWoke, "machine-woke", "The machine was suspended and goes on; what this entry knew before proves nothing until it is learned again.", "If it is often, look at the instance's host."},
-	{PeerUp, "peer-up", "A link to another entry is open.", nothing},
+	{PeerUp, "peer-up", "A link to another entry is open.", noAction},
 	{PeerDown, "peer-down", "A link to another entry has ended.", "If it stays, look at the network between the data centres."},
 	{LogUnreachable, "log-unreachable", "The platform's log does not answer this entry.", "If it lasts, see docs/operations/outages.md."},
-	{LogReachable, "log-reachable", "The platform's log answers again.", nothing},
+	{LogReachable, "log-reachable", "The platform's log answers again.", noAction},
 	{LogTrimmed, "log-trimmed", "The log has dropped records that this entry had not read.", "Nothing; the tables come from a checkpoint or a peer."},
-	{CheckpointWritten, "checkpoint-written", "This entry has carried the tables forward in the log.", nothing},
-	{TablesFromPeer, "tables-from-peer", "This entry took its tables from another entry.", nothing},
-	{TailFromPeer, "tail-from-peer", "This entry read records of the log from another entry.", nothing},
+	{CheckpointWritten, "checkpoint-written", "This entry has carried the tables forward in the log.", noAction},
+	{TablesFromPeer, "tables-from-peer", "This entry took its tables from another entry.", noAction},
+	{TailFromPeer, "tail-from-peer", "This entry read records of the log from another entry.", noAction},
 	{RecordRefused, "record-refused", "The fold refused a record that this entry wrote.", "Nothing, unless an operator wrote it: the answer names the remedy."},
 	{ClaimsUnreadable, "claims-unreadable", "A record of the claims log could not be read.", "Upgrade this entry to the version that wrote it."},
-	{ConfigurationInForce, "configuration-in-force", "A new version of the configuration is in force at this entry.", nothing},
+	{ConfigurationInForce, "configuration-in-force", "A new version of the configuration is in force at this entry.", noAction},
 	{PlanProposed, "plan-proposed", "A plan was made and waits for its confirmation.", "Confirm it or leave it."},
-	{PlanOrdered, "plan-ordered", "An operator has confirmed, paused, resumed or cancelled a plan.", nothing},
-	{StepAdvanced, "step-advanced", "A step of a plan has reached its next state.", nothing},
+	{PlanOrdered, "plan-ordered", "An operator has confirmed, paused, resumed or cancelled a plan.", noAction},
+	{StepAdvanced, "step-advanced", "A step of a plan has reached its next state.", noAction},
 	{StepHeld, "step-held", "A step of a plan can't go on yet; the text says what it waits for.", "If it lasts, do what the text says."},
-	{PlanEnded, "plan-ended", "A plan is done, or its cancellation is complete.", nothing},
-	{CommandSent, "command-sent", "The platform was asked to reboot or stop an instance.", nothing},
-	{CommandUncertain, "command-uncertain", "The platform gave no answer to a command; the entry asks again by its ID.", nothing},
-	{InstanceChanged, "instance-changed", "The platform reports an instance as new, down, up or leaving.", nothing},
-	{JobSubmitted, "job-submitted", "The fold has admitted a job.", nothing},
-	{JobStarting, "job-starting", "A job was given to an instance.", nothing},
-	{JobSettled, "job-settled", "The platform has said what became of an attempt of a job.", nothing},
+	{PlanEnded, "plan-ended", "A plan is done, or its cancellation is complete.", noAction},
+	{CommandSent, "command-sent", "The platform was asked to reboot or stop an instance.", noAction},
+	{CommandUncertain, "command-uncertain", "The platform gave no answer to a command; the entry asks again by its ID.", noAction},
+	{InstanceChanged, "instance-changed", "The platform reports an instance as new, down, up or leaving.", noAction},
+	{JobSubmitted, "job-submitted", "The fold has admitted a job.", noAction},
+	{JobStarting, "job-starting", "A job was given to an instance.", noAction},
+	{JobSettled, "job-settled", "The platform has said what became of an attempt of a job.", noAction},
 	{JobParked, "job-parked", "A job failed on several sound workers and is not started again.", "Correct the job and submit it under a new ID."},
 	{WorkerQuarantined, "worker-quarantined", "Several different jobs failed on an instance in a row; it gets no jobs.", "Maintain or replace the instance."},
-	{TaskUncertain, "task-uncertain", "The platform gave no answer about a task; the entry asks again by its ID.", nothing},
-	{JobYielding, "job-yielding", "An ordinary job is checkpointed to make room on its instance, for an urgent one or because too much is in use.", nothing},
+	{TaskUncertain, "task-uncertain", "The platform gave no answer about a task; the entry asks again by its ID.", noAction},
+	{JobYielding, "job-yielding", "An ordinary job is checkpointed to make room on its instance, for an urgent one or because too much is in use.", noAction},
 	{JobMeasured, "job-measured", "A job uses far more or less than it declared; it is charged with what it uses.", "Declare what the text says."},
 	{JobThrottled, "job-throttled", "A job is held to some cores because its instance has no more, or may use all again.", "If it lasts, declare what the job uses."},
-	{RequestUnknown, "request-unknown", "A caller was told that the outcome of its request is unknown.", nothing},
+	{RequestUnknown, "request-unknown", "A caller was told that the outcome of its request is unknown.", noAction},
 	{TargetSick, "target-sick", "A target fails what it gets; it is tried with single requests only.", "Look at the target."},
-	{TargetRecovered, "target-recovered", "A target that was sick answers again.", nothing},
+	{TargetRecovered, "target-recovered", "A target that was sick answers again.", noAction},
 	{PlatformUnreachable, "platform-unreachable", "The instance list does not answer this entry.", "If it lasts, see docs/operations/outages.md."},
-	{PlatformReachable, "platform-reachable", "The instance list answers again.", nothing},
-	{LeadTaken, "lead-taken", "This entry schedules from now on.", nothing},
-	{LeadNotTaken, "lead-not-taken", "This entry asked for the lead, or gave it up, and the store did not confirm it.", nothing},
-	{LeadLost, "lead-lost", "This entry schedules no longer.", nothing},
+	{PlatformReachable, "platform-reachable", "The instance list answers again.", noAction},
+	{LeadTaken, "lead-taken", "This entry schedules from now on.", noAction},
+	{LeadNotTaken, "lead-not-taken", "This entry asked for the lead, or gave it up, and the store did not confirm it.", noAction},
+	{LeadLost, "lead-lost", "This entry schedules no longer.", noAction},
 	{StoreUnreachable, "store-unreachable", "The platform's store does not answer this entry.", "If it lasts, see docs/operations/outages.md."},
-	{StoreReachable, "store-reachable", "The platform's store answers again.", nothing},
-	{SettingsReloaded, "settings-reloaded", "The settings file was read again.", nothing},
-	{JobTaken, "job-taken", "A client's job was written to the store and accepted.", nothing},
+	{StoreReachable, "store-reachable", "The platform's store answers again.", noAction},
+	{SettingsReloaded, "settings-reloaded", "The settings file was read again.", noAction},
+	{JobTaken, "job-taken", "A client's job was written to the store and accepted.", noAction},
 	{JobRefused, "job-refused", "A client's job was refused and will not run; the text says why.", "If there are many, see docs/OPERATIONS.md."},
 	{JobInDoubt, "job-in-doubt", "The store gave no answer to a job or a cancel; the client was told that the outcome is unknown.", "See docs/OPERATIONS.md."},
-	{JobAnswered, "job-unanswered", "A question about a job could not be answered; the text says why.", nothing},
-	{JobRead, "job-read", "The scheduling entry has read a job or a cancel from the store.", nothing},
-	{JobEnded, "job-ended", "A job has reached its final state.", nothing},
-	{TablesRead, "tables-read", "A new leader has read the jobs and what was kept of them from the store.", nothing},
+	{JobAnswered, "job-unanswered", "A question about a job could not be answered; the text says why.", noAction},
+	{JobRead, "job-read", "The scheduling entry has read a job or a cancel from the store.", noAction},
+	{JobEnded, "job-ended", "A job has reached its final state.", noAction},
+	{TablesRead, "tables-read", "A new leader has read the jobs and what was kept of them from the store.", noAction},
 	{CallerRefused, "caller-refused", "A call was refused before it ran, since its key is not known, or since nobody can tell; the text says by which version, how old the newest look at the configuration was, and whether a key was shown.", "Give the client one of its organisation's keys; where the look is old, see why this entry does not reach the store."},
 	{JobWaits, "job-waits", "A step's tasks wait for their organisation's cap, or for room again; the text says what the organisation has running.", "If an organisation waits for its cap for long, raise the cap, or look at what it has running."},
 	{JobGivenUp, "job-given-up", "A job has failed because workers' lives ended under one of its tasks; the text says how many, and whether it was the only one that can have ended the last.", "Look at what the task does, with the events 828 of its job."},
-	{RunOrdered, "run-ordered", "A worker was told to start a run of a task; the text says on what grounds.", nothing},
-	{RunRefused, "run-refused", "A worker refused an order; the text says why.", nothing},
-	{RunUnanswered, "run-unanswered", "A worker gave no answer to an order; what it lists decides.", nothing},
-	{RunEnded, "run-ended", "A worker has listed the end of a run.", nothing},
-	{RunAdopted, "run-adopted", "A run of an earlier leader goes on under this one.", nothing},
-	{RunStopped, "stop-ordered", "A worker was told to stop a run; the text says why.", nothing},
-	{RunMissing, "run-missing", "A worker no longer lists a run and tells no end; its task starts again.", nothing},
-	{RunPaced, "run-paced", "A filling run is to work at another share, for the serving tasks beside it.", nothing},
+	{RunOrdered, "run-ordered", "A worker was told to start a run of a task; the text says on what grounds.", noAction},
+	{RunRefused, "run-refused", "A worker refused an order; the text says why.", noAction},
+	{RunUnanswered, "run-unanswered", "A worker gave no answer to an order; what it lists decides.", noAction},
+	{RunEnded, "run-ended", "A worker has listed the end of a run.", noAction},
+	{RunAdopted, "run-adopted", "A run of an earlier leader goes on under this one.", noAction},
+	{RunStopped, "stop-ordered", "A worker was told to stop a run; the text says why.", noAction},
+	{RunMissing, "run-missing", "A worker no longer lists a run and tells no end; its task starts again.", noAction},
+	{RunPaced, "run-paced", "A filling run is to work at another share, for the serving tasks beside it.", noAction},
 	{RunLost, "run-lost", "A worker's life ended while a run was or may have been there; the text says how long after its order, beside how many others, and how old the newest of them was.", "If it is the same task again and again, correct its job."},
-	{WorkerSeen, "worker-seen", "A worker is listed, or has changed what it says of itself.", nothing},
-	{WorkerSilent, "worker-silent", "A worker does not answer this entry, or answers again.", nothing},
-	{WorkerLost, "worker-lost", "A worker's life has ended, or all its leases have; its tasks start elsewhere.", nothing},
+	{WorkerSeen, "worker-seen", "A worker is listed, or has changed what it says of itself.", noAction},
+	{WorkerSilent, "worker-silent", "A worker does not answer this entry, or answers again.", noAction},
+	{WorkerLost, "worker-lost", "A worker's life has ended, or all its leases have; its tasks start elsewhere.", noAction},
 	{WorkerReborn, "worker-reborn", "A worker has begun anew under the ID that it had: its answers tell another birth than before.", "If it is often, see why the worker crashes."},
-	{UpkeepBegun, "upkeep-begun", "A worker's instance was taken down for its upkeep.", nothing},
-	{UpkeepRefused, "upkeep-refused", "The machine interface refused an upkeep or a move, or gave no answer.", nothing},
-	{WaveChanged, "wave-changed", "A wave of upkeep was read, or its state was written.", nothing},
-	{MachineMoved, "instance-moved", "An instance was moved to another pool.", nothing},
-	{PoolSized, "pool-sized", "What a pool wants and keeps has changed; the text has the load that decided it, in instances.", nothing},
+	{UpkeepBegun, "upkeep-begun", "A worker's instance was taken down for its upkeep.", noAction},
+	{UpkeepRefused, "upkeep-refused", "The machine interface refused an upkeep or a move, or gave no answer.", noAction},
+	{WaveChanged, "wave-changed", "A wave of upkeep was read, or its state was written.", noAction},
+	{MachineMoved, "instance-moved", "An instance was moved to another pool.", noAction},
+	{PoolSized, "pool-sized", "What a pool wants and keeps has changed; the text has the load that decided it, in instances.", noAction},
 	{DrainChanged, "drain-changed", "A data centre was drained, so that its instances get no work, or that was taken back; the text says what is left there and what holds it.", "If it does not become empty, see docs/operations/maintenance.md."},
 	{ModeBegun, "mode-begun", "The leader has begun to work in a degraded mode; the text names it and why.", "If it lasts, see docs/OPERATIONS.md."},
-	{ModeEnded, "mode-ended", "The leader has left a degraded mode; the text says how long it lasted and why it ended.", nothing},
-	{TakeoverStep, "takeover-step", "A new leader has reached a step of taking over; the text says how long after its term.", nothing},
+	{ModeEnded, "mode-ended", "The leader has left a degraded mode; the text says how long it lasted and why it ended.", noAction},
+	{TakeoverStep, "takeover-step", "A new leader has reached a step of taking over; the text says how long after its term.", noAction},
 	{LeadHandedOver, "lead-handed-over", "A leader that is short of processor gives up the lead, so that another entry takes it.", "If it is often, look at the instance's processor share."},
 	{LinkUsed, "link-used", "What this entry's calls to the platform and to workers took on its link, by kind.", "If the share stays over 0.7, give the entry a wider link, or the lead to one that has it."},
 }
 
-// Name returns the event's name, or its number for one that is not in the catalogue.
+// Name returns the event's name, or its decimal number when it is not in the catalogue.
 func (n Number) Name() string {
 	for i := range kinds {
 		if kinds[i].Number == n {
@@ -200,7 +201,7 @@
 	return fmt.Sprint(int(n))
 }
 
-// Markdown returns the catalogue as the page docs/EVENTS.md.
+// Markdown renders the catalogue as the page docs/EVENTS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery event has a number that never changes its meaning. This page is made from the table in package `event`;\n")
--- a/event/drains.go
+++ b/event/drains.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// Drain is one drain of a data centre, as the leaders of its time told it.
+// Drain is one drain of a data centre, as reported by the leaders during it.
 type Drain struct {
 	DataCentre string
-	// From is when the first leader learned of it, Empty when nothing was left there for the first time, Until when it was taken back; each is the
-	// zero time while it has not happened.
+	// From is when a leader first reported the drain, Empty when the data centre first had no runs left, and Until when the operator
+	// ended the drain. A time that has not come yet is zero.
 	From, Empty, Until time.Time
-	// Left says what was left there by the last word, and what holds it.
-	Left string
+	// Remaining is the part of the latest report that counts what remains in the data centre and names what delays it.
+	Remaining string
 }
 
-// Drains reads the drains of data centres from the logs of all entries.
-func Drains(logs ...[]Line) []Drain {
+// Drains extracts the drains of data centres from the logs of all entries. A drain that several leaders report is one Drain.
+func Drains(logs ...[]LogLine) []Drain {
 	var found []*Drain
 	open := make(map[string]*Drain)
-	for _, l := range inOrder(logs) {
+	for _, l := range mergeByTime(logs) {
 		if l.Number != DrainChanged {
 			continue
 		}
-		centre := word(l.Text, "datacentre")
+		centre := textField(l.Text, "datacentre")
 		d := open[centre]
 		if d == nil {
-			if word(l.Text, "state") == "taken-back" {
-				continue // by a leader that heard of it late
+			if textField(l.Text, "state") == "taken-back" {
+				continue // reported again by a leader that learned of the end later
 			}
 			d = &Drain{DataCentre: centre, From: l.Time}
 			open[centre] = d
 			found = append(found, d)
 		}
-		if d.take(l) {
+		if d.apply(l) {
 			delete(open, centre)
 		}
 	}
@@ -49,9 +49,9 @@
 	return out
 }
 
-// take applies a line; it says whether the drain is over.
-func (d *Drain) take(l Line) bool {
-	switch word(l.Text, "state") {
+// apply updates the drain by one line. It reports whether the drain is over.
+func (d *Drain) apply(l LogLine) bool {
+	switch textField(l.Text, "state") {
 	case "taken-back":
 		d.Until = l.Time
 		return true
@@ -60,13 +60,13 @@
 			d.Empty = l.Time
 		}
 	}
-	if _, left, ok := strings.Cut(l.Text, "workers="); ok {
-		d.Left = "workers=" + left
+	if _, counts, ok := strings.Cut(l.Text, "workers="); ok {
+		d.Remaining = "workers=" + counts
 	}
 	return false
 }
 
-// WriteDrains prints drains as a table.
+// WriteDrains writes the drains to w as a table.
 func WriteDrains(w io.Writer, drains []Drain) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "DATA CENTRE\tDRAINED\tEMPTY AFTER\tTAKEN BACK\tLEFT BY THE LAST WORD")
@@ -75,10 +75,10 @@
 		if !d.Empty.IsZero() {
 			after = d.Empty.Sub(d.From).Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", d.DataCentre, clock(d.From), after, clock(d.Until), d.Left)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", d.DataCentre, formatClock(d.From), after, formatClock(d.Until), d.Remaining)
 	}
 	if err := t.Flush(); err != nil {
-		return fmt.Errorf("write the drains: %w", err)
+		return fmt.Errorf("write the table of drains: %w", err)
 	}
 	return nil
 }
--- a/event/drains_test.go
+++ b/event/drains_test.go
@@ -9,15 +9,16 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestDrainsTellWhatIsLeftAndWhy has two drains, the first of them over a takeover.
+// TestDrainsTellWhatIsLeftAndWhy checks that a drain which two leaders report, one after the other, is shown as one drain, and that the
+// latest count of what remains is shown for a drain that has not ended.
 func TestDrainsTellWhatIsLeftAndWhy(t *testing.T) {
 	c := quicktest.New(t)
-	first, _, err := ReadLog(strings.NewReader(logOf("e1",
+	first, _, err := ReadLog(strings.NewReader(formatLog("e1",
 		`01.000 event=844 name=drain-changed text="datacentre=a state=begun"`,
 		`01.100 event=844 name=drain-changed text="datacentre=a state=emptying after=100ms workers=20 runs=9 lasting=4 others-of-its-step-are-away=3"`,
 	)))
 	c.Assert(err, quicktest.IsNil)
-	second, _, err := ReadLog(strings.NewReader(logOf("e2",
+	second, _, err := ReadLog(strings.NewReader(formatLog("e2",
 		`02.000 event=844 name=drain-changed text="datacentre=a state=begun"`,
 		`03.000 event=844 name=drain-changed text="datacentre=a state=empty after=1s workers=20 runs=0 lasting=0"`,
 		`04.000 event=844 name=drain-changed text="datacentre=a state=taken-back lasted=2s"`,
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -9,6 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
+// TestTheCataloguePageIsCurrent checks that docs/EVENTS.md is regenerated with every change of the catalogue.
 func TestTheCataloguePageIsCurrent(t *testing.T) {
 	c := quicktest.New(t)
 	page, err := os.ReadFile("../docs/EVENTS.md")
@@ -38,9 +39,10 @@
 	c.Assert(kept[0].Sequence, quicktest.Equals, uint64(2))
 	c.Assert(kept[2].Offset, quicktest.Equals, int64(4))
 	var none *Ring
-	none.Emit(PeerUp, Subject{}, "") // a nil ring drops events
+	none.Emit(PeerUp, Subject{}, "") // must not panic
 }
 
+// TestTheTimeLineFollowsOffsetsAndNotClocks checks the order by offset, entry and sequence.
 func TestTheTimeLineFollowsOffsetsAndNotClocks(t *testing.T) {
 	c := quicktest.New(t)
 	events := []Event{{Entry: "b", Offset: 2}, {Entry: "a", Offset: 2, Sequence: 9}, {Entry: "a", Offset: 2, Sequence: 8}, {Entry: "c", Offset: 1}}
--- a/event/leads.go
+++ b/event/leads.go
@@ -14,78 +14,78 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Lead is one term of a leader, by its log.
-type Lead struct {
+// LeaderTerm is one term of a leader, as its log reports it.
+type LeaderTerm struct {
 	Entry, Term string
-	// From is when it was taken; Until when its entry said that it was lost, the zero time when it did not.
+	// From is when the entry became leader, Until when it reported the loss; Until is zero without such a report.
 	From, Until time.Time
-	// Resigned says that the leader gave it up itself.
+	// Resigned reports whether the leader gave up the term itself.
 	Resigned bool
-	// Steps are how long after the term the steps of taking over were reached.
+	// Steps holds the time from the start of the term to each step of the takeover, by the step's name.
 	Steps map[string]time.Duration
 }
 
-// Mode is a time that a leader spent in a degraded mode.
-type Mode struct {
+// DegradedMode is one period that a leader spent in a degraded mode.
+type DegradedMode struct {
 	Entry, Name string
 	From        time.Time
 	Lasted      time.Duration
-	// Why says why it ended.
+	// Why is the reason for which the period ended.
 	Why string
 }
 
-// Pause is a time of at least PauseLeast without a start while jobs waited.
-type Pause struct {
+// StartPause is a period of at least MinStartPause in which no run was started although jobs were waiting.
+type StartPause struct {
 	From, To time.Time
-	// Waiting counts the jobs that had been read and of which nothing had begun, when the pause ended.
+	// Waiting is the number of jobs, at the end of the pause, that had been read and had no run started.
 	Waiting int
 }
 
-// Leadership is what the logs of entries say of their leaders.
+// Leadership is the history of the leaders, extracted from the logs of entries.
 type Leadership struct {
-	Leads  []Lead
-	Modes  []Mode
-	Pauses []Pause
+	Terms  []LeaderTerm
+	Modes  []DegradedMode
+	Pauses []StartPause
 }
 
-// PauseLeast is the shortest time without a start that is told.
-const PauseLeast = time.Second
+// MinStartPause is the shortest period without a start that is reported.
+const MinStartPause = time.Second
 
-// takeoverSteps are the steps of taking over in their order.
+// takeoverSteps are the names of the steps of a takeover, in order.
 var takeoverSteps = [...]string{"tables-read", "fenced", "first-start", "all-heard"}
 
-// Leaders reads the leaders, their degraded modes and the pauses in their starts from the logs of all entries. Lines of
-// several entries are put together by their clocks.
-func Leaders(logs ...[]Line) Leadership {
+// Leaders extracts the terms of leaders, their degraded modes and the pauses between starts from the logs of all entries. The
+// lines of several entries are merged by their clocks.
+func Leaders(logs ...[]LogLine) Leadership {
 	s := leaderScan{waiting: make(map[string]bool)}
-	for _, l := range inOrder(logs) {
-		s.take(l)
+	for _, l := range mergeByTime(logs) {
+		s.observe(l)
 	}
-	return s.found
+	return s.result
 }
 
-// leaderScan goes through the lines once.
+// leaderScan is the state of one pass over the merged lines.
 type leaderScan struct {
-	found     Leadership
+	result    Leadership
 	waiting   map[string]bool
 	lastStart time.Time
 }
 
-func (s *leaderScan) take(l Line) {
+func (s *leaderScan) observe(l LogLine) {
 	switch l.Number {
 	case LeadTaken:
-		s.found.Leads = append(s.found.Leads, Lead{Entry: l.Entry, Term: word(l.Text, "term"), From: l.Time, Steps: make(map[string]time.Duration)})
+		s.result.Terms = append(s.result.Terms, LeaderTerm{Entry: l.Entry, Term: textField(l.Text, "term"), From: l.Time, Steps: make(map[string]time.Duration)})
 	case LeadLost:
-		if lead := s.lead(l); lead != nil {
-			lead.Until, lead.Resigned = l.Time, word(l.Text, "resigned") == "true"
+		if t := s.term(l); t != nil {
+			t.Until, t.Resigned = l.Time, textField(l.Text, "resigned") == "true"
 		}
 	case TakeoverStep:
-		if lead := s.lead(l); lead != nil {
-			lead.Steps[word(l.Text, "step")] = duration(l.Text, "after")
+		if t := s.term(l); t != nil {
+			t.Steps[textField(l.Text, "step")] = textDuration(l.Text, "after")
 		}
 	case ModeEnded:
-		lasted := duration(l.Text, "lasted")
-		s.found.Modes = append(s.found.Modes, Mode{Entry: l.Entry, Name: word(l.Text, "mode"), From: l.Time.Add(-lasted), Lasted: lasted, Why: word(l.Text, "why")})
+		lasted := textDuration(l.Text, "lasted")
+		s.result.Modes = append(s.result.Modes, DegradedMode{Entry: l.Entry, Name: textField(l.Text, "mode"), From: l.Time.Add(-lasted), Lasted: lasted, Why: textField(l.Text, "why")})
 	case JobRead:
 		if !strings.HasPrefix(l.Text, "cancelled") {
 			s.waiting[l.Job] = true
@@ -93,31 +93,31 @@
 	case JobEnded:
 		delete(s.waiting, l.Job)
 	case RunOrdered:
-		s.start(l)
+		s.observeStart(l)
 	}
 }
 
-// lead returns the latest term that the line belongs to.
-func (s *leaderScan) lead(l Line) *Lead {
-	for i := len(s.found.Leads) - 1; i >= 0; i-- {
-		if x := &s.found.Leads[i]; x.Entry == l.Entry && x.Term == word(l.Text, "term") {
-			return x
+// term returns the latest term of the line's entry and term number, nil when there is none.
+func (s *leaderScan) term(l LogLine) *LeaderTerm {
+	for i := len(s.result.Terms) - 1; i >= 0; i-- {
+		if t := &s.result.Terms[i]; t.Entry == l.Entry && t.Term == textField(l.Text, "term") {
+			return t
 		}
 	}
 	return nil
 }
 
-func (s *leaderScan) start(l Line) {
-	if !s.lastStart.IsZero() && l.Time.Sub(s.lastStart) >= PauseLeast && len(s.waiting) > 0 {
-		s.found.Pauses = append(s.found.Pauses, Pause{From: s.lastStart, To: l.Time, Waiting: len(s.waiting)})
+func (s *leaderScan) observeStart(l LogLine) {
+	if !s.lastStart.IsZero() && l.Time.Sub(s.lastStart) >= MinStartPause && len(s.waiting) > 0 {
+		s.result.Pauses = append(s.result.Pauses, StartPause{From: s.lastStart, To: l.Time, Waiting: len(s.waiting)})
 	}
 	s.lastStart = l.Time
 	id, _, _ := strings.Cut(l.Job, ".")
 	delete(s.waiting, id)
 }
 
-// word returns the value of a key in an event's text, empty when it is not there.
-func word(text, key string) string {
+// textField returns the value of a key in an event's text, or "" when the text does not have the key.
+func textField(text, key string) string {
 	d := logfmt.NewDecoder(strings.NewReader(text))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
@@ -129,42 +129,42 @@
 	return ""
 }
 
-// duration returns the value of a key as a duration, 0 when it is none.
-func duration(text, key string) time.Duration {
-	d, err := time.ParseDuration(word(text, key))
+// textDuration returns the value of a key in an event's text as a duration, or 0 when it is not a duration.
+func textDuration(text, key string) time.Duration {
+	d, err := time.ParseDuration(textField(text, key))
 	if err != nil {
-		return 0 // a line of another version
+		return 0 // written by another version
 	}
 	return d
 }
 
-// Write prints the leaders, the times in degraded modes and the pauses as tables.
+// Write writes the terms, the degraded modes and the pauses between starts to w as three tables; the longest pause comes first.
 func (x Leadership) Write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "TERM\tLEADER\tFROM\tUNTIL\tENDED\t"+strings.ToUpper(strings.Join(takeoverSteps[:], "\t")))
-	for _, l := range x.Leads {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s", l.Term, l.Entry, clock(l.From), clock(l.Until), l.ending())
+	for _, l := range x.Terms {
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s", l.Term, l.Entry, formatClock(l.From), formatClock(l.Until), l.endReason())
 		for _, step := range takeoverSteps {
-			fmt.Fprintf(t, "\t%s", l.step(step))
+			fmt.Fprintf(t, "\t%s", l.stepTime(step))
 		}
 		fmt.Fprintln(t)
 	}
 	fmt.Fprintln(t, "\nMODE\tLEADER\tFROM\tLASTED\tENDED BY")
 	for _, m := range x.Modes {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\n", m.Name, m.Entry, clock(m.From), m.Lasted, m.Why)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%s\n", m.Name, m.Entry, formatClock(m.From), m.Lasted, m.Why)
 	}
 	fmt.Fprintln(t, "\nNO START FROM\tTO\tLASTED\tJOBS WAITING")
-	slices.SortStableFunc(x.Pauses, func(a, b Pause) int { return cmp.Compare(b.To.Sub(b.From), a.To.Sub(a.From)) })
+	slices.SortStableFunc(x.Pauses, func(a, b StartPause) int { return cmp.Compare(b.To.Sub(b.From), a.To.Sub(a.From)) })
 	for _, p := range x.Pauses {
-		fmt.Fprintf(t, "%s\t%s\t%v\t%d\n", clock(p.From), clock(p.To), p.To.Sub(p.From).Round(time.Millisecond), p.Waiting)
+		fmt.Fprintf(t, "%s\t%s\t%v\t%d\n", formatClock(p.From), formatClock(p.To), p.To.Sub(p.From).Round(time.Millisecond), p.Waiting)
 	}
 	if err := t.Flush(); err != nil {
-		return fmt.Errorf("write the leaders: %w", err)
+		return fmt.Errorf("write the tables of leaders: %w", err)
 	}
 	return nil
 }
 
-func (l Lead) ending() string {
+func (l LeaderTerm) endReason() string {
 	switch {
 	case l.Until.IsZero():
 		return "not told"
@@ -174,7 +174,7 @@
 	return "lost"
 }
 
-func (l Lead) step(name string) string {
+func (l LeaderTerm) stepTime(name string) string {
 	d, ok := l.Steps[name]
 	if !ok {
 		return "-"
@@ -182,7 +182,7 @@
 	return d.String()
 }
 
-func clock(t time.Time) string {
+func formatClock(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
--- a/event/losses.go
+++ b/event/losses.go
@@ -12,48 +12,52 @@
 	"time"
 )
 
-// Owner is what a job waits for at a time. Each moment from when an entry first sees a job until its end is told has one
-// owner, so that their times add up to the job's.
-type Owner uint8
+// Phase is what a job waits for at a moment. Every moment from a job's first submission until its end is reported belongs to
+// exactly one phase, so that the times of a job's phases add up to its total time.
+type Phase uint8
 
-// Owners in the order of a job's life.
+// Phases in the order in which a job goes through them, but for WaitingForCap, which can replace a wait for a start.
 const (
-	// Unaccepted jobs are refused or in doubt, and come again.
-	Unaccepted Owner = iota
-	// Unread ones are accepted, and not read by the leader.
+	// Unaccepted: the client has submitted the job, and no entry has accepted it. Earlier attempts were refused or their outcome is
+	// unknown.
+	Unaccepted Phase = iota
+	// Unread: an entry has accepted the job, and the leader has not read it.
 	Unread
-	// ForRoom: a task waits for its first start.
-	ForRoom
-	// ForAnother: a task waits for another start, after a run that came to nothing.
-	ForAnother
-	// Wasted: a run goes on that comes to nothing.
-	Wasted
-	// Doubted: a task's worker does not answer the leader.
-	Doubted
-	// AtWork: a run goes on that succeeds.
-	AtWork
-	// Untold: all is done, and it is not kept, so not shown.
-	Untold
-	// ForCap: its organisation has as much running as it may.
-	ForCap
-	owners
+	// WaitingForCapacity: a task waits for its first start.
+	WaitingForCapacity
+	// WaitingForRetry: a task waits for another start after a run that did not succeed.
+	WaitingForRetry
+	// FailedRun: a task has a run that does not succeed.
+	FailedRun
+	// WorkerUnreachable: a task has a run, and its worker does not answer the leader.
+	WorkerUnreachable
+	// SuccessfulRun: a task has a run that succeeds.
+	SuccessfulRun
+	// Storing: all tasks are done, and the store has not confirmed the result, so that clients cannot see it.
+	Storing
+	// WaitingForCap: the job's organisation has as much running as its cap allows.
+	WaitingForCap
+	phaseCount
 )
 
-var ownerNames = [owners]string{"UNACCEPTED", "UNREAD", "ROOM", "AGAIN", "WASTED", "DOUBT", "WORK", "UNTOLD", "CAP"}
+// phaseNames are the columns of the table that WriteLosses writes. docs/OPERATIONS.md explains them under these names.
+var phaseNames = [phaseCount]string{"UNACCEPTED", "UNREAD", "ROOM", "AGAIN", "WASTED", "DOUBT", "WORK", "UNTOLD", "CAP"}
 
-// Loss is where the time of the jobs of one queue went that were first seen in one span of time.
+// Loss is the breakdown by phase of the time of one queue's or organisation's jobs that were submitted in one interval.
 type Loss struct {
-	// Of is the name of the queue, or of the organisation.
-	Of   string
+	// Name is the name of the queue or organisation.
+	Name string
+	// From is the start of the interval.
 	From time.Time
-	// Jobs ended; Open did not by the logs' end, and are not in the times.
-	Jobs, Open int
-	// Median and Most are of the jobs' whole times; Means are by owner, and add up to the mean whole time.
-	Median, Most time.Duration
-	Means        [owners]time.Duration
+	// Jobs is the number of jobs that have ended. Unfinished is the number of the others, which do not count in the times.
+	Jobs, Unfinished int
+	// Median and Max are those of the jobs' total times. Means holds the mean time in each phase; the means add up to the mean
+	// total time.
+	Median, Max time.Duration
+	Means       [phaseCount]time.Duration
 }
 
-// Grouping is what losses are told by.
+// Grouping is what the jobs of one row have in common.
 type Grouping uint8
 
 // Groupings of losses.
@@ -62,60 +66,62 @@
 	ByOrganisation
 )
 
-// String returns the grouping's name.
+// String returns the grouping's column header.
 func (g Grouping) String() string { return [...]string{"QUEUE", "ORGANISATION"}[g] }
 
-// Losses tells from the logs of all entries what the time of jobs went into, by queue or organisation and span. Jobs that last and
-// cancelled ones are left out. Lines of several entries are put together by their clocks.
+// Losses computes from the logs of all entries in which phases jobs spent their time, by queue or organisation and by interval of
+// the length every. Lasting and cancelled jobs are left out. The lines of several entries are merged by their clocks.
 //
-// A step's time is that of its last task: what others waited for beside it cost the job nothing.
-func Losses(by Grouping, every time.Duration, logs ...[]Line) []Loss {
-	s := lossScan{by: by, capped: make(map[string][]span), jobs: make(map[string]*lossJob), runs: make(map[string][]lossRun), silent: make(map[string][]span), open: make(map[string]map[string]bool)}
-	for _, l := range inOrder(logs) {
-		s.take(l)
+// Only the task of each step that ended last counts: the waits of the step's other tasks did not delay the job.
+func Losses(by Grouping, every time.Duration, logs ...[]LogLine) []Loss {
+	s := lossScan{by: by, capped: make(map[string][]interval), jobs: make(map[string]*lossJob), runs: make(map[string][]lossRun), silent: make(map[string][]interval), running: make(map[string]map[string]bool)}
+	for _, l := range mergeByTime(logs) {
+		s.observe(l)
 	}
-	return s.losses(every)
+	return s.rows(every)
 }
 
-// inOrder returns the lines of all logs by their times.
-func inOrder(logs [][]Line) []Line {
-	var lines []Line
+// mergeByTime returns the lines of all logs in the order of their times.
+func mergeByTime(logs [][]LogLine) []LogLine {
+	var lines []LogLine
 	for _, l := range logs {
 		lines = append(lines, l...)
 	}
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(lines, func(a, b LogLine) int { return a.Time.Compare(b.Time) })
 	return lines
 }
 
-// span is a time; one that goes on has no end.
-type span struct{ from, to time.Time }
+// interval is a period of time. The end of one that has not ended is zero.
+type interval struct{ from, to time.Time }
 
 // lossRun is one run of a task.
 type lossRun struct {
-	span
+	interval
 	life      string
 	succeeded bool
 }
 
-// lossJob is what the logs say of a job.
+// lossJob is what the logs contain about one job.
 type lossJob struct {
-	queue, organisation      string
-	seen, taken, read, ended time.Time
-	// steps counts the tasks of each step.
+	queue, organisation              string
+	submitted, accepted, read, ended time.Time
+	// steps holds the number of tasks of each step.
 	steps              []int
 	lasting, cancelled bool
 }
 
-// lossScan goes through the lines once.
+// lossScan is the state of one pass over the merged lines.
 type lossScan struct {
 	by   Grouping
 	jobs map[string]*lossJob
-	// capped are the times in which a job waited for its organisation's cap.
-	capped map[string][]span
-	runs   map[string][]lossRun
-	silent map[string][]span
-	// open are the tasks of each life's runs whose end was not read yet.
-	open map[string]map[string]bool
+	// capped holds the intervals in which each job waited for its organisation's cap, by the job's ID.
+	capped map[string][]interval
+	// runs holds the runs of each task in the order of their starts.
+	runs map[string][]lossRun
+	// silent holds the intervals in which each worker's life did not answer the leader.
+	silent map[string][]interval
+	// running holds the tasks of each life that have a run without an end so far.
+	running map[string]map[string]bool
 }
 
 func (s *lossScan) job(id string) *lossJob {
@@ -127,52 +133,53 @@
 	return j
 }
 
-func (s *lossScan) take(l Line) {
+func (s *lossScan) observe(l LogLine) {
 	switch l.Number {
 	case JobTaken, JobRefused, JobInDoubt:
-		s.handedIn(l)
+		s.observeSubmission(l)
 	case JobRead:
-		s.read(l)
+		s.observeRead(l)
 	case JobEnded:
 		s.job(l.Job).ended = l.Time
 	case JobWaits:
-		s.wait(l)
+		s.observeWait(l)
 	case RunOrdered:
-		s.endCapped(jobOf(l.Job), l.Time)
+		s.endCapWait(jobOf(l.Job), l.Time)
 		s.startRun(l)
 	case RunEnded:
 		s.endRun(l)
 	case WorkerSilent:
-		s.silence(l)
+		s.observeSilence(l)
 	case WorkerLost:
-		s.lose(l)
+		s.endRunsOf(l)
 	}
 }
 
-// handedIn takes a client's attempt; its line is written when it is answered.
-func (s *lossScan) handedIn(l Line) {
+// observeSubmission records an attempt to submit a job. The line is written when the attempt is answered, so that the attempt began
+// its duration earlier.
+func (s *lossScan) observeSubmission(l LogLine) {
 	if !strings.HasPrefix(l.Text, "submit") {
 		return
 	}
 	j := s.job(l.Job)
-	if j.seen.IsZero() {
-		j.seen = l.Time.Add(-duration(l.Text, "took"))
+	if j.submitted.IsZero() {
+		j.submitted = l.Time.Add(-textDuration(l.Text, "took"))
 	}
-	if l.Number == JobTaken && j.taken.IsZero() {
-		j.taken = l.Time
+	if l.Number == JobTaken && j.accepted.IsZero() {
+		j.accepted = l.Time
 	}
 }
 
-func (s *lossScan) read(l Line) {
+func (s *lossScan) observeRead(l LogLine) {
 	j := s.job(l.Job)
 	if strings.HasPrefix(l.Text, "cancelled") {
 		j.cancelled = true
 		return
 	}
 	if !j.read.IsZero() {
-		return // by a later leader
+		return // read again by a later leader
 	}
-	j.read, j.queue, j.organisation = l.Time, word(l.Text, "queue"), word(l.Text, "organisation")
+	j.read, j.queue, j.organisation = l.Time, textField(l.Text, "queue"), textField(l.Text, "organisation")
 	for _, field := range strings.Fields(l.Text) {
 		var tasks int
 		if n, _ := fmt.Sscanf(field, "step=%dx", &tasks); n == 1 {
@@ -182,23 +189,23 @@
 	}
 }
 
-func (s *lossScan) startRun(l Line) {
-	s.runs[l.Job] = append(s.runs[l.Job], lossRun{span: span{from: l.Time}, life: l.Instance})
-	if s.open[l.Instance] == nil {
-		s.open[l.Instance] = make(map[string]bool)
+func (s *lossScan) startRun(l LogLine) {
+	s.runs[l.Job] = append(s.runs[l.Job], lossRun{interval: interval{from: l.Time}, life: l.Instance})
+	if s.running[l.Instance] == nil {
+		s.running[l.Instance] = make(map[string]bool)
 	}
-	s.open[l.Instance][l.Job] = true
+	s.running[l.Instance][l.Job] = true
 }
 
-// wait notes that a job begins to wait for its organisation's cap, or no longer does.
-func (s *lossScan) wait(l Line) {
-	s.endCapped(l.Job, l.Time)
-	if word(l.Text, "why") == "cap" {
-		s.capped[l.Job] = append(s.capped[l.Job], span{from: l.Time})
+// observeWait records that a job begins to wait for its organisation's cap, or that it waits for something else.
+func (s *lossScan) observeWait(l LogLine) {
+	s.endCapWait(l.Job, l.Time)
+	if textField(l.Text, "why") == "cap" {
+		s.capped[l.Job] = append(s.capped[l.Job], interval{from: l.Time})
 	}
 }
 
-func (s *lossScan) endCapped(id string, at time.Time) {
+func (s *lossScan) endCapWait(id string, at time.Time) {
 	spans := s.capped[id]
 	if len(spans) > 0 && spans[len(spans)-1].to.IsZero() {
 		spans[len(spans)-1].to = at
@@ -211,120 +218,121 @@
 	return id
 }
 
-func (s *lossScan) endRun(l Line) {
-	delete(s.open[l.Instance], l.Job)
+func (s *lossScan) endRun(l LogLine) {
+	delete(s.running[l.Instance], l.Job)
 	runs := s.runs[l.Job]
 	if len(runs) == 0 {
 		return
 	}
 	if r := &runs[len(runs)-1]; r.to.IsZero() {
-		r.to, r.succeeded = l.Time, word(l.Text, "how") == "succeeded"
+		r.to, r.succeeded = l.Time, textField(l.Text, "how") == "succeeded"
 	}
 }
 
-// lose ends the runs of a worker whose life or lease has ended.
-func (s *lossScan) lose(l Line) {
-	for task := range s.open[l.Instance] {
+// endRunsOf ends the runs of a worker whose life has ended or whose leases have expired.
+func (s *lossScan) endRunsOf(l LogLine) {
+	for task := range s.running[l.Instance] {
 		runs := s.runs[task]
 		if r := &runs[len(runs)-1]; r.life == l.Instance && r.to.IsZero() {
 			r.to = l.Time
 		}
 	}
-	delete(s.open, l.Instance)
+	delete(s.running, l.Instance)
 }
 
-// silence notes since when a worker is silent, or that it answers again.
-func (s *lossScan) silence(l Line) {
+// observeSilence records that a worker has stopped answering, or that it answers again.
+func (s *lossScan) observeSilence(l LogLine) {
 	spans := s.silent[l.Instance]
 	again := strings.HasPrefix(l.Text, "answers again")
-	open := len(spans) > 0 && spans[len(spans)-1].to.IsZero()
+	isSilent := len(spans) > 0 && spans[len(spans)-1].to.IsZero()
 	switch {
-	case again && open:
+	case again && isSilent:
 		spans[len(spans)-1].to = l.Time
-	case !again && !open:
-		s.silent[l.Instance] = append(spans, span{from: l.Time})
+	case !again && !isSilent:
+		s.silent[l.Instance] = append(spans, interval{from: l.Time})
 	}
 }
 
-func (s *lossScan) losses(every time.Duration) []Loss {
+func (s *lossScan) rows(every time.Duration) []Loss {
 	type key struct {
-		of   string
+		name string
 		from time.Time
 	}
 	rows := make(map[key]*Loss)
-	wholes := make(map[key][]time.Duration)
+	totals := make(map[key][]time.Duration)
 	for id, j := range s.jobs {
 		if j.queue == "" || j.lasting || j.cancelled {
 			continue
 		}
-		k := key{j.queue, j.first().Truncate(every)}
+		k := key{j.queue, j.start().Truncate(every)}
 		if s.by == ByOrganisation {
-			k.of = j.organisation
+			k.name = j.organisation
 		}
 		row := rows[k]
 		if row == nil {
-			row = &Loss{Of: k.of, From: k.from}
+			row = &Loss{Name: k.name, From: k.from}
 			rows[k] = row
 		}
 		if j.ended.IsZero() {
-			row.Open++
+			row.Unfinished++
 			continue
 		}
 		row.Jobs++
-		for o, d := range s.owned(id, j) {
-			row.Means[o] += d
+		for phase, d := range s.phases(id, j) {
+			row.Means[phase] += d
 		}
-		wholes[k] = append(wholes[k], j.ended.Sub(j.first()))
+		totals[k] = append(totals[k], j.ended.Sub(j.start()))
 	}
 	out := make([]Loss, 0, len(rows))
 	for k, row := range rows {
-		row.sum(wholes[k])
+		row.summarize(totals[k])
 		out = append(out, *row)
 	}
-	slices.SortFunc(out, func(a, b Loss) int { return cmp.Or(cmp.Compare(a.Of, b.Of), a.From.Compare(b.From)) })
+	slices.SortFunc(out, func(a, b Loss) int { return cmp.Or(cmp.Compare(a.Name, b.Name), a.From.Compare(b.From)) })
 	return out
 }
 
-// first returns when the job was first seen; one whose taking is in no log was first seen when it was read.
-func (j *lossJob) first() time.Time {
-	if j.seen.IsZero() || j.seen.After(j.read) {
+// start returns when the job was first submitted, or when it was read if no log has its submission or the clocks contradict it.
+func (j *lossJob) start() time.Time {
+	if j.submitted.IsZero() || j.submitted.After(j.read) {
 		return j.read
 	}
-	return j.seen
+	return j.submitted
 }
 
-func (l *Loss) sum(wholes []time.Duration) {
+// summarize turns the sums in Means into means and sets Median and Max from the jobs' total times.
+func (l *Loss) summarize(totals []time.Duration) {
 	if l.Jobs == 0 {
 		return
 	}
-	for o := range l.Means {
-		l.Means[o] /= time.Duration(l.Jobs)
+	for phase := range l.Means {
+		l.Means[phase] /= time.Duration(l.Jobs)
 	}
-	slices.Sort(wholes)
-	l.Median, l.Most = wholes[len(wholes)/2], wholes[len(wholes)-1]
+	slices.Sort(totals)
+	l.Median, l.Max = totals[len(totals)/2], totals[len(totals)-1]
 }
 
-// owned divides a job's time among its owners.
-func (s *lossScan) owned(id string, j *lossJob) [owners]time.Duration {
-	w := ownerWalk{at: j.first(), end: j.ended}
-	w.spend(Unaccepted, j.taken)
-	w.spend(Unread, j.read)
-	for _, runs := range s.lastTasks(id, j) {
+// phases returns the time that a job spent in each phase.
+func (s *lossScan) phases(id string, j *lossJob) [phaseCount]time.Duration {
+	t := phaseTimer{at: j.start(), end: j.ended}
+	t.spend(Unaccepted, j.accepted)
+	t.spend(Unread, j.read)
+	for _, runs := range s.lastTaskRuns(id, j) {
 		for i, r := range runs {
-			wait := ForRoom
+			wait := WaitingForCapacity
 			if i > 0 {
-				wait = ForAnother
+				wait = WaitingForRetry
 			}
-			s.spendWait(&w, id, wait, r.from)
-			s.spendRun(&w, r, i == len(runs)-1)
+			s.spendWait(&t, id, wait, r.from)
+			s.spendRun(&t, r, i == len(runs)-1)
 		}
 	}
-	w.spend(Untold, j.ended)
-	return w.owned
+	t.spend(Storing, j.ended)
+	return t.spent
 }
 
-// spendWait divides the time until a run between its organisation's cap and what else it waited for.
-func (s *lossScan) spendWait(w *ownerWalk, id string, owner Owner, until time.Time) {
+// spendWait divides the time until a run starts between WaitingForCap and the given phase.
+func (s *lossScan) spendWait(t *phaseTimer, id string, phase Phase, until time.Time) {
 	for _, x := range s.capped[id] {
 		if x.from.After(until) {
 			break
@@ -333,14 +341,14 @@
 		if to.IsZero() || to.After(until) {
 			to = until
 		}
-		w.spend(owner, x.from)
-		w.spend(ForCap, to)
+		t.spend(phase, x.from)
+		t.spend(WaitingForCap, to)
 	}
-	w.spend(owner, until)
+	t.spend(phase, until)
 }
 
-// lastTasks returns, by step, the runs of the task that ended last, in the order in which the steps ended.
-func (s *lossScan) lastTasks(id string, j *lossJob) [][]lossRun {
+// lastTaskRuns returns for each step the runs of the task that ended last. The steps are in the order in which they ended.
+func (s *lossScan) lastTaskRuns(id string, j *lossJob) [][]lossRun {
 	var last [][]lossRun
 	for step, tasks := range j.steps {
 		var latest []lossRun
@@ -358,12 +366,13 @@
 	return last
 }
 
-// spendRun divides a run's time between its work and its worker's silences; a run whose end is in no log goes on until the
-// next one's begin.
-func (s *lossScan) spendRun(w *ownerWalk, r lossRun, newest bool) {
-	owner := Wasted
+// spendRun divides the time of a run between the run itself and the intervals in which its worker was silent. A run without an end
+// in the logs gets only the time up to the end of its worker's last finished silence; the rest counts as the wait for the task's
+// next start. The newest run of a task gets nothing without an end.
+func (s *lossScan) spendRun(t *phaseTimer, r lossRun, newest bool) {
+	phase := FailedRun
 	if r.succeeded {
-		owner = AtWork
+		phase = SuccessfulRun
 	}
 	if r.to.IsZero() && newest {
 		return
@@ -376,42 +385,43 @@
 		if to.Before(r.from) || (!r.to.IsZero() && from.After(r.to)) {
 			continue
 		}
-		w.spend(owner, from)
-		w.spend(Doubted, to)
+		t.spend(phase, from)
+		t.spend(WorkerUnreachable, to)
 	}
-	w.spend(owner, r.to)
+	t.spend(phase, r.to)
 }
 
-// ownerWalk goes along a job's life; its times add up to the life whatever the logs lack.
-type ownerWalk struct {
+// phaseTimer moves along a job's time and assigns it to phases. The phases add up to the time it has passed even if lines are missing
+// from the logs or out of order.
+type phaseTimer struct {
 	at, end time.Time
-	owned   [owners]time.Duration
+	spent   [phaseCount]time.Duration
 }
 
-// spend gives the time until then to the owner, as far as it is still to be given.
-func (w *ownerWalk) spend(o Owner, until time.Time) {
-	if until.After(w.end) {
-		until = w.end
+// spend assigns the time up to until to the phase, except for what is assigned already or comes after the job's end.
+func (t *phaseTimer) spend(phase Phase, until time.Time) {
+	if until.After(t.end) {
+		until = t.end
 	}
-	if until.After(w.at) {
-		w.owned[o] += until.Sub(w.at)
-		w.at = until
+	if until.After(t.at) {
+		t.spent[phase] += until.Sub(t.at)
+		t.at = until
 	}
 }
 
-// WriteLosses prints the rows as a table, times in seconds.
+// WriteLosses writes the rows to w as a table. Times are in seconds.
 func WriteLosses(w io.Writer, by Grouping, rows []Loss) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, by.String()+"\tFIRST SEEN\tJOBS\tOPEN\tMEDIAN\tMOST\t"+strings.Join(ownerNames[:], "\t")+"\t")
+	fmt.Fprintln(t, by.String()+"\tFIRST SEEN\tJOBS\tOPEN\tMEDIAN\tMOST\t"+strings.Join(phaseNames[:], "\t")+"\t")
 	for _, r := range rows {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.2f\t%.2f", cmp.Or(r.Of, "-"), clock(r.From), r.Jobs, r.Open, r.Median.Seconds(), r.Most.Seconds())
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.2f\t%.2f", cmp.Or(r.Name, "-"), formatClock(r.From), r.Jobs, r.Unfinished, r.Median.Seconds(), r.Max.Seconds())
 		for _, d := range r.Means {
 			fmt.Fprintf(t, "\t%.2f", d.Seconds())
 		}
 		fmt.Fprintln(t, "\t")
 	}
 	if err := t.Flush(); err != nil {
-		return fmt.Errorf("write the losses: %w", err)
+		return fmt.Errorf("write the table of losses: %w", err)
 	}
 	return nil
 }
--- a/event/losses_test.go
+++ b/event/losses_test.go
@@ -12,12 +12,14 @@
 	"github.com/frankban/quicktest"
 )
 
-func readLines(c *quicktest.C, entry string, lines ...string) []Line {
-	read, _, err := ReadLog(strings.NewReader(logOf(entry, lines...)))
+func readLines(c *quicktest.C, entry string, lines ...string) []LogLine {
+	read, _, err := ReadLog(strings.NewReader(formatLog(entry, lines...)))
 	c.Assert(err, quicktest.IsNil)
 	return read
 }
 
+// TestEachSecondOfAJobHasOneOwner follows a two-step job with a refused submission, a failed run and a silent worker. Each phase must get
+// its part of the time, a step that runs counts by its last task only, and a lasting job is left out.
 func TestEachSecondOfAJobHasOneOwner(t *testing.T) {
 	c := quicktest.New(t)
 	entry := readLines(c, "e1",
@@ -44,10 +46,10 @@
 	at := func(s int) time.Time { return time.Date(2030, 1, 1, 0, 0, s, 0, time.UTC) }
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	c.Assert(rows, quicktest.DeepEquals, []Loss{
-		{Of: "q", From: at(0), Jobs: 1, Median: ms(5700), Most: ms(5700), Means: [owners]time.Duration{
-			Unaccepted: ms(1500), Unread: ms(100), ForRoom: ms(310), ForAnother: ms(100), Wasted: ms(500), Doubted: ms(2000), AtWork: ms(1090), Untold: ms(100),
+		{Name: "q", From: at(0), Jobs: 1, Median: ms(5700), Max: ms(5700), Means: [phaseCount]time.Duration{
+			Unaccepted: ms(1500), Unread: ms(100), WaitingForCapacity: ms(310), WaitingForRetry: ms(100), FailedRun: ms(500), WorkerUnreachable: ms(2000), SuccessfulRun: ms(1090), Storing: ms(100),
 		}},
-		{Of: "q", From: at(4), Open: 1},
+		{Name: "q", From: at(4), Unfinished: 1},
 	})
 	var b strings.Builder
 	c.Assert(WriteLosses(&b, ByQueue, rows), quicktest.IsNil)
@@ -56,6 +58,8 @@
 	}
 }
 
+// TestARunOnAWorkerThatIsLostEndsWithIt checks a run without an end of its own: it ends when the worker is lost, and the time since the
+// worker fell silent counts as WorkerUnreachable.
 func TestARunOnAWorkerThatIsLostEndsWithIt(t *testing.T) {
 	c := quicktest.New(t)
 	lines := readLines(c, "e1",
@@ -70,10 +74,11 @@
 	rows := Losses(ByQueue, time.Minute, lines)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	c.Assert(rows, quicktest.HasLen, 1)
-	c.Assert(rows[0].Means, quicktest.DeepEquals, [owners]time.Duration{ForRoom: ms(100), Wasted: ms(400), Doubted: ms(3000), ForAnother: ms(100), AtWork: ms(1000), Untold: ms(100)})
+	c.Assert(rows[0].Means, quicktest.DeepEquals, [phaseCount]time.Duration{WaitingForCapacity: ms(100), FailedRun: ms(400), WorkerUnreachable: ms(3000), WaitingForRetry: ms(100), SuccessfulRun: ms(1000), Storing: ms(100)})
 }
 
-// Whatever lines are lost, come twice or out of order, a job's owners add up to its time.
+// TestOwnersAddUpToAJobsTime generates logs with missing, repeated and reordered lines. The phases of the job must add up to its total
+// time in every case.
 func TestOwnersAddUpToAJobsTime(t *testing.T) {
 	c := quicktest.New(t)
 	for seed := range uint64(200) {
@@ -101,11 +106,12 @@
 		for _, d := range rows[0].Means {
 			sum += d
 		}
-		c.Assert(sum, quicktest.Equals, rows[0].Most, quicktest.Commentf("seed %d", seed))
+		c.Assert(sum, quicktest.Equals, rows[0].Max, quicktest.Commentf("seed %d", seed))
 	}
 }
 
-// TestLossesByOrganisationTellTheCap has a job that waits for room, then for its organisation's cap, then for room again.
+// TestLossesByOrganisationTellTheCap checks the division of a wait: a job waits for capacity, then for its organisation's cap, then for
+// capacity again. Jobs without an organisation have a row of their own.
 func TestLossesByOrganisationTellTheCap(t *testing.T) {
 	c := quicktest.New(t)
 	lines := readLines(c, "e1",
@@ -120,9 +126,9 @@
 	rows := Losses(ByOrganisation, time.Minute, lines)
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	c.Assert(rows, quicktest.HasLen, 2)
-	c.Assert(rows[0].Of, quicktest.Equals, "")
-	c.Assert(rows[1].Of, quicktest.Equals, "a b")
-	c.Assert(rows[1].Means, quicktest.DeepEquals, [owners]time.Duration{ForRoom: ms(300), ForCap: ms(1000), AtWork: ms(500), Untold: ms(100)})
+	c.Assert(rows[0].Name, quicktest.Equals, "")
+	c.Assert(rows[1].Name, quicktest.Equals, "a b")
+	c.Assert(rows[1].Means, quicktest.DeepEquals, [phaseCount]time.Duration{WaitingForCapacity: ms(300), WaitingForCap: ms(1000), SuccessfulRun: ms(500), Storing: ms(100)})
 	var b strings.Builder
 	c.Assert(WriteLosses(&b, ByOrganisation, rows), quicktest.IsNil)
 	c.Assert(b.String(), quicktest.Contains, "ORGANISATION")
--- a/event/ring.go
+++ b/event/ring.go
@@ -11,7 +11,7 @@
 	"github.com/go-kit/log"
 )
 
-// Subject names what an event is about; empty fields do not apply.
+// Subject identifies what an event is about. Fields that do not apply are empty.
 type Subject struct {
 	Plan     string `json:"plan,omitempty"`
 	Instance string `json:"instance,omitempty"`
@@ -20,28 +20,28 @@
 	Entry    string `json:"about,omitempty"`
 }
 
-// Event is one thing that happened at one entry.
+// Event is one occurrence at one entry.
 type Event struct {
 	Number Number `json:"number"`
 	Name   string `json:"name"`
-	// Entry is where it happened, Sequence its place among the entry's events.
+	// Entry is the entry that emitted the event, Sequence the event's index among that entry's events.
 	Entry    string `json:"entry"`
 	Sequence uint64 `json:"sequence"`
-	// Offset is the last record of the fleet log that the entry had folded.
+	// Offset is the offset of the last record of the fleet log that the entry had folded.
 	Offset int64 `json:"offset"`
-	// Time is the entry's clock; it is shown and never compared.
+	// Time is read from the entry's clock. It is displayed and never compared, because the entries' clocks differ.
 	Time time.Time `json:"time"`
 	Subject
 	Text string `json:"text,omitempty"`
 }
 
-// Ring keeps the latest events of one entry and writes each to its log.
+// Ring keeps the latest events of one entry in a ring buffer and logs each of them.
 type Ring struct {
 	// Entry is the name of the entry.
 	Entry string
-	// Logger receives every event; none when nil.
+	// Logger receives every event; events are not logged when it is nil.
 	Logger log.Logger
-	// Size is the number of events kept; 4096 when 0.
+	// Size is the number of events that are kept; 4096 when 0.
 	Size int
 	// Clock returns the current time; time.Now when nil.
 	Clock func() time.Time
@@ -52,16 +52,16 @@
 	offset int64
 }
 
-const defaultRing = 4096
+const defaultRingSize = 4096
 
-// SetOffset says which record of the fleet log the entry has folded.
+// SetOffset sets the offset that later events carry: that of the last record of the fleet log that the entry has folded.
 func (r *Ring) SetOffset(offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.offset = offset
 }
 
-// Emit adds an event; a nil ring drops it.
+// Emit records an event and logs it. A nil ring drops it.
 func (r *Ring) Emit(n Number, s Subject, text string) {
 	if r == nil {
 		return
@@ -78,7 +78,7 @@
 			kv = append(kv, f.key, f.value)
 		}
 	}
-	_ = r.Logger.Log(kv...) // a log that can't be written must not stop the entry
+	_ = r.Logger.Log(kv...) // a failing log must not stop the entry
 }
 
 func (r *Ring) add(n Number, s Subject, text string) Event {
@@ -90,7 +90,7 @@
 	defer r.mu.Unlock()
 	size := r.Size
 	if size == 0 {
-		size = defaultRing
+		size = defaultRingSize
 	}
 	e := Event{Number: n, Name: n.Name(), Entry: r.Entry, Sequence: r.next, Offset: r.offset, Time: now(), Subject: s, Text: text}
 	if len(r.events) < size {
@@ -102,7 +102,7 @@
 	return e
 }
 
-// Since returns the events kept with a sequence of at least from, oldest first.
+// Since returns the kept events whose sequence is at least from, oldest first.
 func (r *Ring) Since(from uint64) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,14 +116,14 @@
 	return out
 }
 
-// Order sorts the events of several entries into one time line.
+// SortTimeLine sorts the events of several entries by offset, then by entry and sequence. Times are ignored.
 func Order(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Offset, b.Offset), cmp.Compare(a.Entry, b.Entry), cmp.Compare(a.Sequence, b.Sequence))
 	})
 }
 
-// Matches says whether the event is about the subject's non-empty fields.
+// Matches reports whether the event equals s in every non-empty field of s but Entry.
 func (e Event) Matches(s Subject) bool {
 	return (s.Plan == "" || s.Plan == e.Plan) && (s.Instance == "" || s.Instance == e.Instance) &&
 		(s.Job == "" || s.Job == e.Job) && (s.Request == "" || s.Request == e.Request)
--- a/event/writer.go
+++ b/event/writer.go
@@ -10,69 +10,70 @@
 	"time"
 )
 
-// Bounds of a Writer.
+// Limits of a Writer.
 const (
-	// writerBytes bounds what waits to be written; what comes beyond it is dropped and counted.
-	writerBytes = 256 << 10
-	// writeBytes bounds one write, of whole lines: a pipe takes as much at once or not at all.
-	writeBytes = 4096
-	// writerPause gathers lines, so that many of them cost one write.
-	writerPause = 50 * time.Millisecond
+	// maxBufferedBytes bounds the lines that are waiting to be written; further lines are dropped and counted.
+	maxBufferedBytes = 256 << 10
+	// maxWriteBytes bounds one write, which consists of whole lines: a pipe accepts up to 4096 bytes atomically.
+	maxWriteBytes = 4096
+	// flushDelay is the time between a line and its write, so that lines are written in batches.
+	flushDelay = 50 * time.Millisecond
 )
 
-// Writer writes whole log lines from a goroutine of its own, so that logging never blocks.
+// Writer buffers log lines and writes them from another goroutine, so that logging never blocks.
 //
-// Lines beyond its bounds are dropped and counted. The fields are set before use.
+// Lines that do not fit into its buffer are dropped and counted. Set the fields before use.
 type Writer struct {
 	Out io.Writer
 
-	mu      sync.Mutex
-	waiting bytes.Buffer
-	busy    bool
-	dropped atomic.Int64
+	mu             sync.Mutex
+	buffer         bytes.Buffer
+	flushScheduled bool
+	dropped        atomic.Int64
 }
 
-// Write takes one line; it never blocks and never fails.
+// Write buffers one line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waiting.Len()+len(line) > writerBytes {
+	if w.buffer.Len()+len(line) > maxBufferedBytes {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
-	w.waiting.Write(line)
-	if !w.busy {
-		w.busy = true
-		time.AfterFunc(writerPause, w.flush)
+	w.buffer.Write(line)
+	if !w.flushScheduled {
+		w.flushScheduled = true
+		time.AfterFunc(flushDelay, w.flush)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Flush writes what waits.
+// Flush writes the buffered lines now.
 func (w *Writer) Flush() { w.flush() }
 
 func (w *Writer) flush() {
 	w.mu.Lock()
-	out := w.waiting
-	w.waiting = bytes.Buffer{}
-	w.busy = false
+	out := w.buffer
+	w.buffer = bytes.Buffer{}
+	w.flushScheduled = false
 	w.mu.Unlock()
 	for b := out.Bytes(); len(b) > 0; {
 		n := wholeLines(b)
-		_, _ = w.Out.Write(b[:n]) // a log that can't be written must not stop the entry
+		_, _ = w.Out.Write(b[:n]) // a failing log must not stop the entry
 		b = b[n:]
 	}
 }
 
-// wholeLines returns the length of as many whole lines as fit into one write, of the first one at the least.
+// wholeLines returns the length of the longest prefix of whole lines that fits into one write. A first line that is longer than a
+// write may be is returned whole.
 func wholeLines(b []byte) int {
-	if len(b) <= writeBytes {
+	if len(b) <= maxWriteBytes {
 		return len(b)
 	}
-	if i := bytes.LastIndexByte(b[:writeBytes], '\n'); i >= 0 {
+	if i := bytes.LastIndexByte(b[:maxWriteBytes], '\n'); i >= 0 {
 		return i + 1
 	}
 	if i := bytes.IndexByte(b, '\n'); i >= 0 {
--- a/event/writer_chunks_test.go
+++ b/event/writer_chunks_test.go
@@ -10,19 +10,20 @@
 	"github.com/frankban/quicktest"
 )
 
-// pieces keeps each write.
-type pieces [][]byte
+// writes records the content of each call of Write.
+type writes [][]byte
 
-// Write keeps a copy of the bytes.
-func (p *pieces) Write(b []byte) (int, error) {
+// Write records a copy of b.
+func (p *writes) Write(b []byte) (int, error) {
 	*p = append(*p, bytes.Clone(b))
 	return len(b), nil
 }
 
-// TestLinesLeaveWholeAndInSmallWrites: a process that lost power in a long write to its log stood still for good.
+// TestLinesLeaveWholeAndInSmallWrites guards against long writes of log lines: a process whose machine lost power during a write
+// that exceeded the pipe's atomic size hung for good. Only a single line that is longer than the limit may exceed it.
 func TestLinesLeaveWholeAndInSmallWrites(t *testing.T) {
 	c := quicktest.New(t)
-	var out pieces
+	var out writes
 	w := &Writer{Out: &out}
 	var want strings.Builder
 	for i := range 400 {
@@ -30,14 +31,14 @@
 		want.WriteString(line)
 		_, _ = w.Write([]byte(line))
 	}
-	long := strings.Repeat("y", 3*writeBytes) + "\n" // longer than a write may be
+	long := strings.Repeat("y", 3*maxWriteBytes) + "\n" // longer than a write may be
 	want.WriteString(long)
 	_, _ = w.Write([]byte(long))
 	w.Flush()
 	var got strings.Builder
 	for _, p := range out {
 		c.Assert(p[len(p)-1], quicktest.Equals, byte('\n'))
-		c.Assert(len(p) <= writeBytes || bytes.Count(p, []byte("\n")) == 1, quicktest.IsTrue)
+		c.Assert(len(p) <= maxWriteBytes || bytes.Count(p, []byte("\n")) == 1, quicktest.IsTrue)
 		got.Write(p)
 	}
 	c.Assert(got.String(), quicktest.Equals, want.String())
