--- a/cmd/rackstep/apply.go
+++ b/cmd/rackstep/apply.go
@@ -44,7 +44,7 @@
 	if f != nil {
 		problems = f.Decode(&conf)
 		for _, p := range conf.Check() {
-			problems = append(problems, f.At(p.Path, p.Detail))
+			problems = append(problems, f.ProblemAt(p.Path, p.Detail))
 		}
 	}
 	for _, p := range problems {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -36,15 +36,16 @@
 	return s, problems
 }
 
+// TestEveryProblemIsToldAtOnceWithItsLine decodes a file with one error in most lines: decoding and validation must not stop at the first.
 func TestEveryProblemIsToldAtOnceWithItsLine(t *testing.T) {
 	c := quicktest.New(t)
 	_, problems := load(c, faulty)
-	var told []string
+	var texts []string
 	for _, p := range problems {
 		_, rest, _ := strings.Cut(p.String(), "entry.jsonc:")
-		told = append(told, rest)
+		texts = append(texts, rest)
 	}
-	all := strings.Join(told, "\n")
+	all := strings.Join(texts, "\n")
 	for _, want := range [...]string{
 		"4: /data_centre: is not a string", "5: /caller_address: \"localhost:80\" is not an IP address", "8: /platform: is not an http",
 		"9: /peer_secret: is short", "10: /colour: is not a known key", "11: /stop_delay:", "12: /peers/0/port: is not a known key",
@@ -72,6 +73,8 @@
 	c.Assert(conf.Check(), quicktest.HasLen, 0)
 }
 
+// TestAConfigurationsProblemsNameTheirLines checks that problems which a later check finds by path get the line of the value, or that of
+// the enclosing object if the value is missing.
 func TestAConfigurationsProblemsNameTheirLines(t *testing.T) {
 	c := quicktest.New(t)
 	f, problems := Parse("x", []byte("{\"pools\": [{\"name\": \"p\"}],\n\"services\": [\n{\"name\": \"s\", \"pool\": \"q\"}]}"))
@@ -80,7 +83,7 @@
 	c.Assert(f.Decode(&conf), quicktest.HasLen, 0)
 	lines := make(map[string]int)
 	for _, p := range conf.Check() {
-		lines[p.Path] = f.At(p.Path, p.Detail).Line
+		lines[p.Path] = f.ProblemAt(p.Path, p.Detail).Line
 	}
 	c.Assert(lines["/services/0/pool"], quicktest.Equals, 3)
 	c.Assert(lines["/services/0/data_centres"], quicktest.Equals, 3)
@@ -94,7 +97,7 @@
 		var s Settings
 		for _, p := range Decode("f", data, &s) {
 			if p.Line < 1 || p.Detail == "" {
-				t.Fatalf("a problem without a place or text: %+v", p)
+				t.Fatalf("problem without line or detail: %+v", p)
 			}
 		}
 	})
--- a/config/decode.go
+++ b/config/decode.go
@@ -12,43 +12,43 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a file.
+// Problem is one error in a file.
 type Problem struct {
 	File string
 	Line int
-	// Path is a JSON pointer (RFC 6901).
+	// Path is the JSON pointer (RFC 6901) of the value.
 	Path string
-	// Detail says what is wrong and what to write instead.
+	// Detail states what is wrong and what to write instead.
 	Detail string
 }
 
-// String returns the problem on one line as compilers print them.
+// String formats the problem on one line, as compilers format errors.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Detail)
 }
 
-// File is a parsed file, for problems that are found later.
+// File is a parsed file. It is kept to decode it and to find the lines of problems that later checks detect.
 type File struct {
 	Name string
 	data []byte
 	root hujson.Value
 }
 
-// Parse reads JSON with comments and trailing commas.
+// Parse parses JSON with comments and trailing commas. The file is nil if there are problems.
 func Parse(name string, data []byte) (*File, []Problem) {
 	root, err := hujson.Parse(data)
 	if err != nil {
 		line := 1
-		// The parser names the place as "line N, column M".
+		// The parser's messages contain the position as "line N, column M".
 		if _, rest, ok := strings.Cut(err.Error(), "line "); ok {
-			_, _ = fmt.Sscanf(rest, "%d", &line) // it stays 1 when there is none
+			_, _ = fmt.Sscanf(rest, "%d", &line) // line stays 1 if the message has no number
 		}
-		return nil, []Problem{{File: name, Line: line, Path: "/", Detail: err.Error() + "; write JSON with comments"}}
+		return nil, []Problem{{File: name, Line: line, Path: "/", Detail: err.Error() + "; write JSON, comments are allowed"}}
 	}
 	return &File{Name: name, data: data, root: root}, nil
 }
 
-// Decode parses the file and fills the struct that v points to.
+// Decode parses data, decodes it into the struct that v points to and returns all problems. The name is used in problems only.
 func Decode(name string, data []byte, v any) []Problem {
 	f, problems := Parse(name, data)
 	if f == nil {
@@ -57,15 +57,16 @@
 	return f.Decode(v)
 }
 
-// Decode fills the struct that v points to and returns every problem.
+// Decode decodes the file into the struct that v points to and returns all problems. Fields without a problem are set.
 func (f *File) Decode(v any) []Problem {
 	d := decoder{file: f}
 	d.value(&f.root, reflect.ValueOf(v).Elem(), "")
 	return d.problems
 }
 
-// At returns a problem of the value at the path, or of the nearest one above it that the file has.
-func (f *File) At(path, detail string) Problem {
+// ProblemAt returns a problem of the value at the path. Its line is that of the value, or of the nearest enclosing value if the file
+// does not have the value itself.
+func (f *File) ProblemAt(path, detail string) Problem {
 	for at := path; ; at = at[:strings.LastIndexByte(at, '/')] {
 		if v := f.root.Find(at); v != nil {
 			return Problem{File: f.Name, Line: f.line(v.StartOffset), Path: path, Detail: detail}
@@ -85,18 +86,19 @@
 	problems []Problem
 }
 
-func (d *decoder) fail(v *hujson.Value, path, format string, args ...any) {
-	d.problems = append(d.problems, Problem{File: d.file.Name, Line: d.file.line(v.StartOffset), Path: orRoot(path), Detail: fmt.Sprintf(format, args...)})
+// report adds a problem of the value v.
+func (d *decoder) report(v *hujson.Value, path, format string, args ...any) {
+	d.problems = append(d.problems, Problem{File: d.file.Name, Line: d.file.line(v.StartOffset), Path: pathOrRoot(path), Detail: fmt.Sprintf(format, args...)})
 }
 
-func orRoot(path string) string {
+func pathOrRoot(path string) string {
 	if path == "" {
 		return "/"
 	}
 	return path
 }
 
-// value decodes structs and slices by their parts, so that each part reports its own problem.
+// value decodes structs and slices element by element, so that all of their problems are reported, each with its own path.
 func (d *decoder) value(v *hujson.Value, into reflect.Value, path string) {
 	switch {
 	case into.Kind() == reflect.Pointer:
@@ -123,7 +125,7 @@
 func (d *decoder) object(v *hujson.Value, into reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.fail(v, path, "is not an object; write { ... }")
+		d.report(v, path, "is not an object; write {...}")
 		return
 	}
 	fields := fieldsOf(into.Type())
@@ -135,9 +137,9 @@
 		at := path + "/" + key
 		switch index, known := fields[key]; {
 		case !known:
-			d.fail(&m.Name, at, "is not a known key; the keys here are %s", strings.Join(sortedNames(fields), ", "))
+			d.report(&m.Name, at, "is not a known key; known keys are %s", strings.Join(sortedNames(fields), ", "))
 		case seen[key]:
-			d.fail(&m.Name, at, "stands twice; keep one")
+			d.report(&m.Name, at, "is given twice; keep one")
 		default:
 			d.value(&m.Value, into.Field(index), at)
 		}
@@ -145,6 +147,7 @@
 	}
 }
 
+// fieldsOf returns the indexes of the struct's fields by their JSON names.
 func fieldsOf(t reflect.Type) map[string]int {
 	fields := make(map[string]int)
 	for i := range t.NumField() {
@@ -168,7 +171,7 @@
 func (d *decoder) array(v *hujson.Value, into reflect.Value, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.fail(v, path, "is not a list; write [ ... ]")
+		d.report(v, path, "is not a list; write [...]")
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(arr.Elements), len(arr.Elements)))
@@ -181,10 +184,11 @@
 	plain := v.Clone()
 	plain.Standardize()
 	if err := json.Unmarshal(plain.Pack(), into.Addr().Interface()); err != nil {
-		d.fail(v, path, "is not a %s: %v", kindName(into), trim(err))
+		d.report(v, path, "is not a %s: %v", kindName(into), trimPrefix(err))
 	}
 }
 
+// kindName names the expected kind of value for messages.
 func kindName(v reflect.Value) string {
 	switch v.Kind() {
 	case reflect.Int, reflect.Int64, reflect.Uint64:
@@ -197,4 +201,4 @@
 	return strings.ToLower(v.Type().Name())
 }
 
-func trim(err error) string { return strings.TrimPrefix(err.Error(), "json: ") }
+func trimPrefix(err error) string { return strings.TrimPrefix(err.Error(), "json: ") }
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package config reads files of JSON with comments and checks them whole.
+Package config decodes and validates files of JSON with comments.
 
-Decode fills a struct and reports every problem at once, each with its file,
-line and remedy; an unknown key is a problem:
+Decode fills a struct and reports all problems of the file at once, each with
+its line and a remedy. An unknown key is a problem:
 
 	problems := config.Decode("entry.jsonc", data, &settings)
 
-Settings are what one entry is told when it starts. The configuration of the
-fleet is another thing: operators publish it, see package fleet.
+Settings configure one entry and are read when it starts. They are distinct
+from the configuration of the fleet, which operators publish while entries
+run; see package fleet.
 */
 package config
--- a/config/settings.go
+++ b/config/settings.go
@@ -12,51 +12,51 @@
 	"rackstep.dev/fleet"
 )
 
-// Settings are what one entry is told when it starts.
+// Settings configure one entry. They are read when it starts.
 type Settings struct {
-	// Entry is the name of the entry, DataCentre its place.
+	// Entry is the name of the entry, DataCentre the data centre that it runs in.
 	Entry      string `json:"entry"`
 	DataCentre string `json:"data_centre"`
-	// CallerAddress, OperatorAddress and PeerAddress are an IP address and a port each.
+	// CallerAddress, OperatorAddress and PeerAddress are the addresses to listen on, an IP address and a port each.
 	CallerAddress   string `json:"caller_address"`
 	OperatorAddress string `json:"operator_address"`
 	PeerAddress     string `json:"peer_address"`
 	// Platform is the base URL of the platform's services.
 	Platform string `json:"platform"`
-	// FleetLog and ClaimsLog are names of logs; "fleet" and "claims" when empty.
+	// FleetLog and ClaimsLog are the names of the platform's logs to use; "fleet" and "claims" when empty.
 	FleetLog  string `json:"fleet_log"`
 	ClaimsLog string `json:"claims_log"`
-	// PeerSecret proves entries to each other; PeerSecretFile names a file that holds it.
+	// PeerSecret is the shared secret by which entries authenticate each other. PeerSecretFile names a file that contains it instead.
 	PeerSecret     string `json:"peer_secret"`
 	PeerSecretFile string `json:"peer_secret_file"`
-	// BootstrapTokenHash allows the first configuration to be published.
+	// BootstrapTokenHash is the hash of the token that may publish the first configuration.
 	BootstrapTokenHash string `json:"bootstrap_token_hash"`
-	// Peers are other entries to begin with; more become known from the log.
+	// Peers are the other entries to connect to first. Further entries become known from the log.
 	Peers []Peer `json:"peers"`
-	// StopDelay is how long a stopping entry serves on, so that the balancer notices; 3s when 0.
+	// StopDelay is how long a stopping entry continues to serve, so that the load balancer notices that it is no longer ready; 3s when 0.
 	StopDelay fleet.Duration `json:"stop_delay"`
-	// Maintenance is the expected time of one instance's maintenance; 2m when 0.
+	// Maintenance is the expected duration of one instance's maintenance; 2m when 0.
 	Maintenance fleet.Duration `json:"maintenance"`
-	// CheckpointEvery is the time between two checkpoints of the tables in the log; 5m when 0.
+	// CheckpointEvery is the interval between checkpoints of the tables in the log; 5m when 0.
 	CheckpointEvery fleet.Duration `json:"checkpoint_every"`
-	// TLS protects all three addresses when it is set.
+	// TLS enables TLS on all three addresses.
 	TLS TLS `json:"tls"`
-	// MaxBody bounds a caller's body in bytes; 1 MiB when 0.
+	// MaxBody is the maximum size of a caller's request body in bytes; 1 MiB when 0.
 	MaxBody int `json:"max_body"`
 }
 
-// TLS names the files of an entry's certificate, its key, and the authority that signed those of all entries.
+// TLS names the files of an entry's certificate, its key, and the certificate of the authority that signed those of all entries.
 //
-// Peers prove certificates to each other; the certificate must name the IP addresses of the entry. Callers and operators
-// see the certificate and need none.
+// Entries authenticate each other by their certificates, which must contain the entry's IP addresses. Callers and operators
+// verify the entry's certificate and need none of their own.
 type TLS struct {
 	Certificate string `json:"certificate"`
 	Key         string `json:"key"`
 	Authority   string `json:"authority"`
 }
 
-// Set says whether TLS is wanted.
-func (t TLS) Set() bool { return t != TLS{} }
+// Enabled reports whether any of the files is set.
+func (t TLS) Enabled() bool { return t != TLS{} }
 
 // Peer is another entry.
 type Peer struct {
@@ -65,11 +65,12 @@
 	Address    string `json:"address"`
 }
 
-// Load reads and checks the settings file; problems are of its content, the error is of reading it.
+// Load reads and validates the settings file. The problems are those of its content, in the order of lines; the error is that of
+// reading the file.
 func Load(name string) (Settings, []Problem, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return Settings{}, nil, fmt.Errorf("read settings: %w; name the file with --config", err)
+		return Settings{}, nil, fmt.Errorf("read settings: %w; set the file with --config", err)
 	}
 	var s Settings
 	f, problems := Parse(name, data)
@@ -77,45 +78,47 @@
 		return s, problems, nil
 	}
 	problems = f.Decode(&s)
-	s.check(func(path, detail string) { problems = append(problems, f.At(path, detail)) })
+	s.check(func(path, detail string) { problems = append(problems, f.ProblemAt(path, detail)) })
 	slices.SortStableFunc(problems, func(a, b Problem) int { return a.Line - b.Line })
 	return s, problems, nil
 }
 
-// Secret returns the peers' shared secret.
+// LoadPeerSecret returns the peers' shared secret, which it reads from PeerSecretFile if that is set.
 func (s Settings) Secret() ([]byte, error) {
 	if s.PeerSecretFile == "" {
 		return []byte(s.PeerSecret), nil
 	}
 	b, err := os.ReadFile(s.PeerSecretFile)
 	if err != nil {
-		return nil, fmt.Errorf("read peer_secret_file: %w; name a file that this process may read", err)
+		return nil, fmt.Errorf("read peer_secret_file: %w; set a file that this process may read", err)
 	}
 	return b, nil
 }
 
-const minSecret = 16
+// minSecretBytes is the minimum length of PeerSecret. A secret from a file is not checked.
+const minSecretBytes = 16
 
+// check reports the problems that concern values rather than syntax.
 func (s Settings) check(report func(path, detail string)) {
 	if s.Entry == "" {
-		report("/entry", "is missing; give the entry a name")
+		report("/entry", "is missing; set the name of the entry")
 	}
 	if s.DataCentre == "" {
-		report("/data_centre", "is missing; name the entry's data centre")
+		report("/data_centre", "is missing; set the data centre of the entry")
 	}
 	checkAddress(report, "/caller_address", s.CallerAddress)
 	checkAddress(report, "/operator_address", s.OperatorAddress)
 	checkAddress(report, "/peer_address", s.PeerAddress)
 	if u, err := url.Parse(s.Platform); err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		report("/platform", "is not an http or https URL; write the platform's base address")
+		report("/platform", "is not an http or https URL; set the platform's base URL")
 	}
 	switch {
 	case s.PeerSecret == "" && s.PeerSecretFile == "":
 		report("/peer_secret", "is missing; set peer_secret or peer_secret_file, the same for all entries")
 	case s.PeerSecret != "" && s.PeerSecretFile != "":
-		report("/peer_secret_file", "stands beside peer_secret; keep one of them")
-	case s.PeerSecret != "" && len(s.PeerSecret) < minSecret:
-		report("/peer_secret", fmt.Sprintf("is short; use %d characters or more", minSecret))
+		report("/peer_secret_file", "is set together with peer_secret; keep one of them")
+	case s.PeerSecret != "" && len(s.PeerSecret) < minSecretBytes:
+		report("/peer_secret", fmt.Sprintf("is short; use at least %d characters", minSecretBytes))
 	}
 	for i, p := range s.Peers {
 		if p.Entry == "" || p.DataCentre == "" {
@@ -125,14 +128,14 @@
 	}
 	for path, d := range map[string]fleet.Duration{"/stop_delay": s.StopDelay, "/maintenance": s.Maintenance, "/checkpoint_every": s.CheckpointEvery} {
 		if d < 0 {
-			report(path, "is below 0; write a positive duration")
+			report(path, "is negative; write a positive duration")
 		}
 	}
-	if s.TLS.Set() && (s.TLS.Certificate == "" || s.TLS.Key == "" || s.TLS.Authority == "") {
-		report("/tls", "is not whole; set certificate, key and authority, or leave tls out")
+	if s.TLS.Enabled() && (s.TLS.Certificate == "" || s.TLS.Key == "" || s.TLS.Authority == "") {
+		report("/tls", "is incomplete; set certificate, key and authority, or omit tls")
 	}
 	if s.MaxBody < 0 {
-		report("/max_body", "is below 0; write a number of bytes")
+		report("/max_body", "is negative; write a number of bytes")
 	}
 }
 
--- a/config/tls.go
+++ b/config/tls.go
@@ -10,22 +10,23 @@
 	"os"
 )
 
-// ErrAuthority means that a file holds no certificate of an authority.
-var ErrAuthority = errors.New("the file holds no certificate in PEM; name the authority's certificate")
+// ErrNoCertificate means that the file of the authority contains no certificate.
+var ErrNoCertificate = errors.New("the file contains no PEM certificate; set the file of the authority's certificate")
 
-// Server returns what the callers' and operators' addresses use, nil when TLS is not wanted.
+// ServerConfig returns the TLS configuration of the callers' and operators' addresses, nil if TLS is not enabled.
 func (t TLS) Server() (*tls.Config, error) {
-	if !t.Set() {
+	if !t.Enabled() {
 		return nil, nil
 	}
 	pair, err := tls.LoadX509KeyPair(t.Certificate, t.Key)
 	if err != nil {
-		return nil, fmt.Errorf("read the certificate: %w; name a certificate and its key in PEM", err)
+		return nil, fmt.Errorf("load certificate %s with key %s: %w; set a certificate and its key in PEM format", t.Certificate, t.Key, err)
 	}
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"}}, nil
 }
 
-// Peers returns what links between entries use in both directions, nil when TLS is not wanted.
+// PeerConfig returns the TLS configuration of the links between entries, for both the client and the server side, nil if TLS is not
+// enabled.
 func (t TLS) Peers() (*tls.Config, error) {
 	c, err := t.Server()
 	if c == nil || err != nil {
@@ -40,15 +41,15 @@
 	return c, nil
 }
 
-// Authority reads the certificates that are trusted.
+// LoadAuthority reads the certificates to trust from a PEM file.
 func Authority(name string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("read the authority: %w", err)
+		return nil, fmt.Errorf("read the authority's certificate: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(b) {
-		return nil, fmt.Errorf("%s: %w", name, ErrAuthority)
+		return nil, fmt.Errorf("%s: %w", name, ErrNoCertificate)
 	}
 	return pool, nil
 }
