--- a/admin/client.go
+++ b/admin/client.go
@@ -18,22 +18,23 @@
 	"rackstep.dev/serve"
 )
 
-// Client calls the operators' interface of one entry.
+// Client calls the operators' interface of an entry.
 type Client struct {
 	// Address is the entry's operator address, an IP address and a port.
 	Address string
-	Token   string
-	// TLS says that the entry's address is protected; HTTP must then trust its authority.
+	// Token is the operator's token.
+	Token string
+	// TLS selects https. HTTP must then trust the authority of the entry's certificate.
 	TLS bool
 	// HTTP sends the requests; http.DefaultClient when nil.
 	HTTP *http.Client
 }
 
-// ErrUnreachable means that no answer came from the entry.
-var ErrUnreachable = errors.New("the entry can't be reached; name another one with --entry")
+// ErrUnreachable means that the entry sent no complete answer. Whether it has carried out the request is unknown.
+var ErrUnreachable = errors.New("no answer from the entry; try another one with --entry")
 
-// clientTime bounds one call; it is longer than the entry's own wait for the log.
-const clientTime = callTime + 3*time.Second
+// clientTimeout bounds one call. It is longer than publishTimeout, so that the entry's answer arrives if it runs into that.
+const clientTimeout = publishTimeout + 3*time.Second
 
 // Apply publishes the configuration.
 func (c *Client) Apply(ctx context.Context, a Apply) (Accepted, error) {
@@ -47,7 +48,7 @@
 	return out, c.call(ctx, http.MethodGet, "/v1/configuration", nil, &out)
 }
 
-// Status returns what the entry knows.
+// Status returns the state of the site as the entry knows it.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	return out, c.call(ctx, http.MethodGet, "/v1/status", nil, &out)
@@ -71,13 +72,13 @@
 	return out.Jobs, err
 }
 
-// Result returns what the entry knows of a record.
+// Result returns what the entry knows about the record with the ID.
 func (c *Client) Result(ctx context.Context, id string) (Known, error) {
 	var out Known
 	return out, c.call(ctx, http.MethodGet, "/v1/results/"+url.PathEscape(id), nil, &out)
 }
 
-// Plan asks for a plan; nothing happens until it is confirmed.
+// Plan makes a plan for the intent. The plan is not executed until it is confirmed.
 func (c *Client) Plan(ctx context.Context, i fleet.Intent) (fleet.Plan, error) {
 	var out fleet.Plan
 	return out, c.call(ctx, http.MethodPost, "/v1/plans", i, &out)
@@ -95,7 +96,7 @@
 	return out, c.call(ctx, http.MethodPost, "/v1/plans/"+url.PathEscape(plan)+"/"+string(o), nil, &out)
 }
 
-// TimeLine returns the events about the subject of all entries that the entry reaches.
+// TimeLine returns the events about the subject from all entries that the entry reaches.
 func (c *Client) TimeLine(ctx context.Context, about event.Subject) (Line, error) {
 	q := url.Values{}
 	for name, v := range map[string]string{"plan": about.Plan, "instance": about.Instance, "job": about.Job, "request": about.Request} {
@@ -107,16 +108,18 @@
 	return out, c.call(ctx, http.MethodGet, "/v1/timeline?"+q.Encode(), nil, &out)
 }
 
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the body of an answer; the rest is cut off.
+const maxResponseBytes = 64 << 20
 
+// call sends a request with the JSON encoding of body, unless that is nil, and decodes the answer into the value at into.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, clientTime)
+	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	var content io.Reader
 	if body != nil {
 		b, err := json.Marshal(body)
 		if err != nil {
-			return fmt.Errorf("encode request: %w", err)
+			return fmt.Errorf("encode the body of %s %s: %w", method, path, err)
 		}
 		content = bytes.NewReader(b)
 	}
@@ -138,20 +141,21 @@
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return problemOf(resp, data)
+		return decodeProblem(resp, data)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return fmt.Errorf("read the entry's answer: %w", err)
+		return fmt.Errorf("decode the answer to %s %s: %w", method, path, err)
 	}
 	return nil
 }
 
-func problemOf(resp *http.Response, data []byte) error {
+// decodeProblem returns the error of an answer whose status is not 200.
+func decodeProblem(resp *http.Response, data []byte) error {
 	var p struct {
 		Detail  string        `json:"detail"`
 		Outcome serve.Outcome `json:"outcome"`
@@ -159,7 +163,7 @@
 		Remedy  string        `json:"remedy"`
 	}
 	if err := json.Unmarshal(data, &p); err != nil {
-		return fmt.Errorf("the entry answered with status %d", resp.StatusCode)
+		return fmt.Errorf("the entry answered with status %d and no problem details: %w", resp.StatusCode, err)
 	}
 	return &serve.Problem{Status: resp.StatusCode, Outcome: p.Outcome, Reason: p.Reason, Detail: p.Detail, Remedy: p.Remedy}
 }
--- a/admin/doc.go
+++ b/admin/doc.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package admin is the operators' interface of an entry: HTTP with JSON, on an
-address of its own.
+Package admin implements the operators' HTTP interface of an entry, and a client
+for it. The interface has its own address; bodies are JSON.
 
-Every request but the metrics carries an operator's token. Before the first
-configuration there are no operators; until then the bootstrap token of the
-settings is accepted, and only to publish that first configuration.
+Every request except for the metrics needs an operator's token. Before the first
+configuration is published there are no operators; until then the bootstrap
+token of the settings is accepted, for publishing that configuration only.
 
-The types that travel are plain structs in this package, which the command
-line uses too. The protocol is in docs/PROTOCOLS.md.
+The types of the bodies are plain structs, which the server and the command line
+share. The protocol is described in docs/PROTOCOLS.md.
 */
 package admin
--- a/admin/server.go
+++ b/admin/server.go
@@ -17,31 +17,31 @@
 	"rackstep.dev/serve"
 )
 
-// Server answers operators.
+// Server serves the operators' interface. Set the fields before use.
 type Server struct {
-	// Bootstrap is the hash of the token that may publish the first configuration; none when empty.
+	// BootstrapTokenHash is the hash of the token that may publish the first configuration; no token may when it is empty.
 	Bootstrap string
-	// Metrics answers the scraper; none when nil.
+	// Metrics serves the path /metrics; there are no metrics when it is nil.
 	Metrics http.Handler
-	// Publish writes a record and waits for the fold's answer.
+	// Publish appends a record to the log on behalf of an operator and waits for the fold's result.
 	Publish func(ctx context.Context, by string, r fleet.Record) (fleet.Result, error)
-	// Read runs f with the tables, which are nil before the entry has any; f must not keep them.
+	// ReadTables calls f with the tables, which are nil while the entry has none. f must not retain them.
 	Read func(ctx context.Context, f func(t *fleet.Tables)) error
-	// Status returns what the entry knows.
+	// Status returns the state of the site as the entry knows it.
 	Status func(ctx context.Context) (Status, error)
-	// Plan makes a plan from the tables.
+	// MakePlan makes a plan with the given ID from the tables.
 	Plan func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error)
-	// TimeLine collects the events of all entries.
+	// TimeLine returns the events about a subject from all reachable entries, and the names of the entries that could not be reached.
 	TimeLine func(ctx context.Context, about event.Subject) ([]event.Event, []string)
 
 	once      sync.Once
 	container *restful.Container
 }
 
-// maxConfiguration bounds a request's body in bytes.
-const maxConfiguration = 8 << 20
+// maxRequestBytes bounds the body of a request.
+const maxRequestBytes = 8 << 20
 
-// ServeHTTP answers operators.
+// ServeHTTP serves the paths under /v1 and /metrics.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.once.Do(func() { s.container = s.routes() })
 	s.container.ServeHTTP(w, r)
@@ -51,19 +51,19 @@
 	c := restful.NewContainer()
 	c.Router(restful.CurlyRouter{})
 	c.ServiceErrorHandler(func(e restful.ServiceError, _ *restful.Request, w *restful.Response) {
-		problem(w, e.Code, "bad-request", e.Message, "look at docs/PROTOCOLS.md")
+		writeProblem(w, e.Code, "bad-request", e.Message, "look at docs/PROTOCOLS.md")
 	})
 	ws := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
-	ws.Route(ws.GET("/configuration").To(s.known(s.getConfiguration)))
+	ws.Route(ws.GET("/configuration").To(s.authenticated(s.getConfiguration)))
 	ws.Route(ws.PUT("/configuration").To(s.applyConfiguration))
-	ws.Route(ws.GET("/status").To(s.known(s.getStatus)))
-	ws.Route(ws.GET("/instances").To(s.known(s.getInstances)))
-	ws.Route(ws.GET("/jobs").To(s.known(s.getJobs)))
-	ws.Route(ws.GET("/results/{id}").To(s.known(s.getResult)))
-	ws.Route(ws.GET("/timeline").To(s.known(s.getTimeLine)))
-	ws.Route(ws.POST("/plans").To(s.known(s.postPlan)))
-	ws.Route(ws.GET("/plans/{plan}").To(s.known(s.getPlan)))
-	ws.Route(ws.POST("/plans/{plan}/{order}").To(s.known(s.orderPlan)))
+	ws.Route(ws.GET("/status").To(s.authenticated(s.getStatus)))
+	ws.Route(ws.GET("/instances").To(s.authenticated(s.getInstances)))
+	ws.Route(ws.GET("/jobs").To(s.authenticated(s.getJobs)))
+	ws.Route(ws.GET("/results/{id}").To(s.authenticated(s.getResult)))
+	ws.Route(ws.GET("/timeline").To(s.authenticated(s.getTimeLine)))
+	ws.Route(ws.POST("/plans").To(s.authenticated(s.postPlan)))
+	ws.Route(ws.GET("/plans/{plan}").To(s.authenticated(s.getPlan)))
+	ws.Route(ws.POST("/plans/{plan}/{order}").To(s.authenticated(s.orderPlan)))
 	c.Add(ws)
 	if s.Metrics != nil {
 		c.Handle("/metrics", s.Metrics)
@@ -71,31 +71,32 @@
 	return c
 }
 
-// call is one request of a known operator.
-type call struct {
-	by string
-	r  *restful.Request
-	w  *restful.Response
+// operatorRequest is one request of an authenticated operator.
+type operatorRequest struct {
+	operator string
+	r        *restful.Request
+	w        *restful.Response
 }
 
-func (c call) context() context.Context { return c.r.Request.Context() }
+func (c operatorRequest) context() context.Context { return c.r.Request.Context() }
 
-// known passes on what carries an operator's token.
-func (s *Server) known(f func(call)) restful.RouteFunction {
+// authenticated returns a route that calls f for requests with an operator's token and rejects all others.
+func (s *Server) authenticated(f func(operatorRequest)) restful.RouteFunction {
 	return func(r *restful.Request, w *restful.Response) {
-		by, _, err := s.operator(r.Request)
+		name, _, err := s.operator(r.Request)
 		switch {
 		case err != nil:
-			failed(w, err)
-		case by == "":
-			unauthorized(w)
+			writeError(w, err)
+		case name == "":
+			writeUnauthorized(w)
 		default:
-			f(call{by: by, r: r, w: w})
+			f(operatorRequest{operator: name, r: r, w: w})
 		}
 	}
 }
 
-// operator returns the name of the request's operator, and whether the entry has a configuration yet.
+// operator returns the name of the operator whose token the request carries, "" if there is none, and whether the entry has a
+// configuration.
 func (s *Server) operator(r *http.Request) (name string, configured bool, err error) {
 	hash := serve.TokenHash(org.KeyOf(r.Header.Get("Authorization")))
 	err = s.Read(r.Context(), func(t *fleet.Tables) {
@@ -112,37 +113,36 @@
 	return name, configured, err
 }
 
-func unauthorized(w *restful.Response) {
-	problem(w, http.StatusUnauthorized, "unauthorized", "the operator's token is missing or not known", "set RACKSTEP_TOKEN or use --token-file")
+func writeUnauthorized(w *restful.Response) {
+	writeProblem(w, http.StatusUnauthorized, "unauthorized", "the operator's token is missing or unknown", "set RACKSTEP_TOKEN or use --token-file")
 }
 
-func problem(w *restful.Response, status int, reason serve.Reason, detail, remedy string) {
+func writeProblem(w *restful.Response, status int, reason serve.Reason, detail, remedy string) {
 	serve.WriteProblem(w.ResponseWriter, &serve.Problem{Status: status, Reason: reason, Detail: detail, Remedy: remedy})
 }
 
-func failed(w *restful.Response, err error) {
-	p := serve.JobProblem(err)
-	serve.WriteProblem(w.ResponseWriter, p)
+func writeError(w *restful.Response, err error) {
+	serve.WriteProblem(w.ResponseWriter, serve.JobProblem(err))
 }
 
-func answer(w *restful.Response, status int, body any) {
+func writeJSON(w *restful.Response, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.ResponseWriter.WriteHeader(status)
-	_ = json.NewEncoder(w.ResponseWriter).Encode(body) // an operator that has gone asks again
+	_ = json.NewEncoder(w.ResponseWriter).Encode(body) // a client that has disconnected asks again
 }
 
-// read decodes the request's body; after false the answer was written.
-func read(r *restful.Request, w *restful.Response, into any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w.ResponseWriter, r.Request.Body, maxConfiguration))
+// decodeBody decodes the request's body into the value at into. If it returns false, it has written an error response.
+func decodeBody(r *restful.Request, w *restful.Response, into any) bool {
+	dec := json.NewDecoder(http.MaxBytesReader(w.ResponseWriter, r.Request.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		problem(w, http.StatusBadRequest, "bad-request", "the body can't be read: "+err.Error(), "look at docs/PROTOCOLS.md")
+		writeProblem(w, http.StatusBadRequest, "bad-request", "the body is invalid: "+err.Error(), "look at docs/PROTOCOLS.md")
 		return false
 	}
 	return true
 }
 
-func (s *Server) getConfiguration(c call) {
+func (s *Server) getConfiguration(c operatorRequest) {
 	var current Current
 	err := s.Read(c.context(), func(t *fleet.Tables) {
 		if t != nil {
@@ -150,109 +150,111 @@
 		}
 	})
 	if err != nil {
-		failed(c.w, err)
+		writeError(c.w, err)
 		return
 	}
-	answer(c.w, http.StatusOK, current)
+	writeJSON(c.w, http.StatusOK, current)
 }
 
 func (s *Server) applyConfiguration(r *restful.Request, w *restful.Response) {
-	by, configured, err := s.operator(r.Request)
+	name, configured, err := s.operator(r.Request)
 	if err != nil {
-		failed(w, err)
+		writeError(w, err)
 		return
 	}
 	if !configured && s.Bootstrap != "" && serve.SameHash(s.Bootstrap, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
-		by = "bootstrap"
+		name = "bootstrap"
 	}
-	if by == "" {
-		unauthorized(w)
+	if name == "" {
+		writeUnauthorized(w)
 		return
 	}
 	var a Apply
-	if !read(r, w, &a) {
+	if !decodeBody(r, w, &a) {
 		return
 	}
 	if a.ID == "" {
 		a.ID = rand.Text()
 	}
-	s.publish(call{by, r, w}, fleet.Record{ID: a.ID, Configure: &fleet.Configure{Base: a.Base, Configuration: a.Configuration}})
+	s.publish(operatorRequest{name, r, w}, fleet.Record{ID: a.ID, Configure: &fleet.Configure{Base: a.Base, Configuration: a.Configuration}})
 }
 
-// publish writes the record and answers with the fold's answer.
-func (s *Server) publish(c call, r fleet.Record) {
-	ctx, cancel := context.WithTimeout(c.context(), callTime)
+// publish publishes the record and responds with the fold's result. An error response names the record's ID, so that the operator can
+// ask for its outcome.
+func (s *Server) publish(c operatorRequest, r fleet.Record) {
+	ctx, cancel := context.WithTimeout(c.context(), publishTimeout)
 	defer cancel()
-	res, err := s.Publish(ctx, c.by, r)
+	res, err := s.Publish(ctx, c.operator, r)
 	if err != nil {
 		c.w.Header().Set(serve.HeaderRequest, r.ID)
-		failed(c.w, err)
+		writeError(c.w, err)
 		return
 	}
-	answer(c.w, http.StatusOK, Accepted{ID: r.ID, Version: res.Version, Offset: res.Offset})
+	writeJSON(c.w, http.StatusOK, Accepted{ID: r.ID, Version: res.Version, Offset: res.Offset})
 }
 
-func (s *Server) getStatus(c call) {
+func (s *Server) getStatus(c operatorRequest) {
 	st, err := s.Status(c.context())
 	if err != nil {
-		failed(c.w, err)
+		writeError(c.w, err)
 		return
 	}
-	answer(c.w, http.StatusOK, st)
+	writeJSON(c.w, http.StatusOK, st)
 }
 
-func (s *Server) getInstances(c call) {
-	s.rows(c, func(t *fleet.Tables) any {
+func (s *Server) getInstances(c operatorRequest) {
+	s.writeFromTables(c, func(t *fleet.Tables) any {
 		return struct {
 			Instances []fleet.Instance `json:"instances"`
 		}{t.Instances.Rows()}
 	})
 }
 
-func (s *Server) getJobs(c call) {
-	s.rows(c, func(t *fleet.Tables) any {
+func (s *Server) getJobs(c operatorRequest) {
+	s.writeFromTables(c, func(t *fleet.Tables) any {
 		return struct {
 			Jobs []fleet.Job `json:"jobs"`
 		}{t.Jobs.Rows()}
 	})
 }
 
-func (s *Server) rows(c call, of func(*fleet.Tables) any) {
-	var body any
+// writeFromTables responds with the value that body returns for the tables, which are empty while the entry has none.
+func (s *Server) writeFromTables(c operatorRequest, body func(*fleet.Tables) any) {
+	var value any
 	err := s.Read(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			t = fleet.New()
 		}
-		body = of(t)
+		value = body(t)
 	})
 	if err != nil {
-		failed(c.w, err)
+		writeError(c.w, err)
 		return
 	}
-	answer(c.w, http.StatusOK, body)
+	writeJSON(c.w, http.StatusOK, value)
 }
 
-func (s *Server) getResult(c call) {
+func (s *Server) getResult(c operatorRequest) {
 	id := c.r.PathParameter("id")
-	s.rows(c, func(t *fleet.Tables) any {
-		known := Known{ID: id}
+	s.writeFromTables(c, func(t *fleet.Tables) any {
+		result := Known{ID: id}
 		if res := t.Result(id); res != nil {
-			known.Found, known.Version, known.Refusal = true, res.Version, res.Refusal
+			result.Found, result.Version, result.Refusal = true, res.Version, res.Refusal
 		}
-		return known
+		return result
 	})
 }
 
-func (s *Server) getTimeLine(c call) {
+func (s *Server) getTimeLine(c operatorRequest) {
 	q := c.r.Request.URL.Query()
 	about := event.Subject{Plan: q.Get("plan"), Instance: q.Get("instance"), Job: q.Get("job"), Request: q.Get("request")}
 	events, unreached := s.TimeLine(c.context(), about)
-	answer(c.w, http.StatusOK, Line{Events: events, Unreached: unreached})
+	writeJSON(c.w, http.StatusOK, Line{Events: events, Unreached: unreached})
 }
 
-func (s *Server) postPlan(c call) {
+func (s *Server) postPlan(c operatorRequest) {
 	var intent fleet.Intent
-	if !read(c.r, c.w, &intent) {
+	if !decodeBody(c.r, c.w, &intent) {
 		return
 	}
 	var p fleet.Plan
@@ -265,22 +267,22 @@
 	})
 	switch {
 	case err != nil:
-		failed(c.w, err)
+		writeError(c.w, err)
 		return
 	case planErr != nil:
-		problem(c.w, http.StatusBadRequest, "bad-request", planErr.Error(), "correct the intent")
+		writeProblem(c.w, http.StatusBadRequest, "bad-request", planErr.Error(), "change the intent as the message says")
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.context(), callTime)
+	ctx, cancel := context.WithTimeout(c.context(), publishTimeout)
 	defer cancel()
-	if _, err := s.Publish(ctx, c.by, fleet.Record{Propose: &fleet.Propose{Plan: p}}); err != nil {
-		failed(c.w, err)
+	if _, err := s.Publish(ctx, c.operator, fleet.Record{Propose: &fleet.Propose{Plan: p}}); err != nil {
+		writeError(c.w, err)
 		return
 	}
-	answer(c.w, http.StatusOK, p)
+	writeJSON(c.w, http.StatusOK, p)
 }
 
-func (s *Server) getPlan(c call) {
+func (s *Server) getPlan(c operatorRequest) {
 	var p *fleet.Plan
 	err := s.Read(c.context(), func(t *fleet.Tables) {
 		if t == nil {
@@ -292,15 +294,15 @@
 	})
 	switch {
 	case err != nil:
-		failed(c.w, err)
+		writeError(c.w, err)
 	case p == nil:
-		problem(c.w, http.StatusNotFound, "unknown", "the plan is not known", "list the plans with 'rackstep status'")
+		writeProblem(c.w, http.StatusNotFound, "unknown", "the plan is not known", "list the plans with 'rackstep status'")
 	default:
-		answer(c.w, http.StatusOK, p)
+		writeJSON(c.w, http.StatusOK, p)
 	}
 }
 
-func (s *Server) orderPlan(c call) {
+func (s *Server) orderPlan(c operatorRequest) {
 	order := fleet.Order(c.r.PathParameter("order"))
 	s.publish(c, fleet.Record{ID: rand.Text(), Control: &fleet.Control{Plan: c.r.PathParameter("plan"), Order: order}})
 }
