--- a/cmd/rackstep/apply.go
+++ b/cmd/rackstep/apply.go
@@ -21,11 +21,11 @@
 
 func applyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "apply", Usage: "publish a configuration and wait for the fold's answer", ArgsUsage: "FILE",
+		Name: "apply", Usage: "publish a configuration and wait until it is accepted or refused", ArgsUsage: "FILE",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "check", Usage: "check the file and exit"},
-			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the file was made from; the one in force by default"},
-			&cli.StringFlag{Name: "id", Usage: "`ID` of the record; give the same one to ask again after an unknown outcome"},
+			&cli.Uint64Flag{Name: "base", Usage: "`VERSION` that the file is based on; by default the one in force"},
+			&cli.StringFlag{Name: "id", Usage: "`ID` of the record; use the same one to try again after an unknown outcome"},
 			&cli.BoolFlag{Name: "wait", Usage: "wait until the version is in force at every entry that is heard of"},
 			&cli.DurationFlag{Name: "timeout", Usage: "bound of --wait", Value: 30 * time.Second},
 		},
@@ -33,12 +33,12 @@
 	}
 }
 
-// readConfiguration reads and checks the file; problems were printed when the error says so.
+// readConfiguration reads and validates the file. It prints the problems to standard error and returns their number as the error.
 func readConfiguration(name string) (fleet.Configuration, error) {
 	var conf fleet.Configuration
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return conf, cli.Exit(fmt.Errorf("read the configuration: %w", err), exitUsage)
+		return conf, cli.Exit(fmt.Errorf("read configuration: %w", err), exitUsage)
 	}
 	f, problems := config.Parse(name, data)
 	if f != nil {
@@ -62,10 +62,10 @@
 		return err
 	}
 	if c.Bool("check") {
-		fmt.Println("configuration is sound")
+		fmt.Println("configuration is valid")
 		return nil
 	}
-	api, err := client(c)
+	api, err := newClient(c)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 		a.ID = rand.Text()
 	}
 	if !c.IsSet("base") {
-		// Without a configuration nobody may read it, so the first is made from version 0.
+		// Before the first configuration there are no operators and this call is refused, so the base stays 0.
 		if now, err := api.Configuration(ctx); err == nil {
 			a.Base = now.Version
 		}
@@ -82,18 +82,18 @@
 	done, err := api.Apply(ctx, a)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "record id %s\n", a.ID)
-		return failure(err)
+		return exitError(err)
 	}
 	if c.Bool("wait") {
-		if err := awaitVersion(ctx, api, done.Version, c.Duration("timeout")); err != nil {
+		if err := waitForVersion(ctx, api, done.Version, c.Duration("timeout")); err != nil {
 			return err
 		}
 	}
-	return show(c, done, func(w *table) { w.line("accepted as version %d at offset %d", done.Version, done.Offset) })
+	return printAnswer(c, done, func(w *table) { w.line("accepted as version %d at offset %d", done.Version, done.Offset) })
 }
 
-// awaitVersion waits until every entry that is heard of follows the version.
-func awaitVersion(ctx context.Context, api *admin.Client, version uint64, timeout time.Duration) error {
+// waitForVersion waits until the version is in force at every known entry that is not stopping.
+func waitForVersion(ctx context.Context, api *admin.Client, version uint64, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	behind := "every entry"
@@ -101,23 +101,24 @@
 		st, err := api.Status(ctx)
 		var p *serve.Problem
 		if errors.As(err, &p) && p.Status == http.StatusUnauthorized {
-			fmt.Fprintln(os.Stderr, "not waited: this token may not read the status; the bootstrap token only publishes the first configuration")
+			fmt.Fprintln(os.Stderr, "--wait skipped: this token may not read the status; the bootstrap token is only for publishing the first configuration")
 			return nil
 		}
 		if err == nil {
-			if behind = laggard(st, version); behind == "" {
+			if behind = entryBehind(st, version); behind == "" {
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return cli.Exit(fmt.Sprintf("version %d is accepted, and %s does not follow it yet; look at 'rackstep status'", version, behind), exitUnknown)
+			return cli.Exit(fmt.Sprintf("version %d is accepted, but not in force at %s yet; see 'rackstep status'", version, behind), exitUnknown)
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
 }
 
-func laggard(st admin.Status, version uint64) string {
+// entryBehind returns an entry that is not stopping and has an older version, "" if there is none.
+func entryBehind(st admin.Status, version uint64) string {
 	for _, e := range st.Entries {
 		if e.Version < version && !e.Stopping {
 			return e.Entry
@@ -134,16 +135,16 @@
 			if err != nil {
 				return err
 			}
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			now, err := api.Configuration(ctx)
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
 			changes := fleet.Diff(now.Configuration, conf)
-			return show(c, changes, func(w *table) {
+			return printAnswer(c, changes, func(w *table) {
 				for _, ch := range changes {
 					w.line("%s", ch)
 				}
--- a/cmd/rackstep/capacity.go
+++ b/cmd/rackstep/capacity.go
@@ -22,7 +22,7 @@
 
 func capacityCommand() *cli.Command {
 	return &cli.Command{
-		Name: "capacity", Usage: "measure what entries cost and fit slopes; tools/capacity.sh starts the processes",
+		Name: "capacity", Usage: "measure the resources that entries use and fit a linear model; tools/capacity.sh starts the processes",
 		Commands: []*cli.Command{
 			{
 				Name: "write", Usage: "lay down the settings of a site",
@@ -77,9 +77,9 @@
 				},
 			},
 			{
-				Name: "report", Usage: "fit the points of FILE, print the table and draw the plots", ArgsUsage: "FILE",
+				Name: "report", Usage: "fit a model to the points in FILE, print the table and draw the plots", ArgsUsage: "FILE",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "plots", Usage: "`FOLDER` for the plots; none are drawn without it"},
+					&cli.StringFlag{Name: "plots", Usage: "`FOLDER` for the plots; without it none are drawn"},
 					&cli.IntFlag{Name: "entries", Usage: "entries of the size to work out", Value: 32}, &cli.IntFlag{Name: "workers", Usage: "workers of that size", Value: 780},
 					&cli.IntFlag{Name: "jobs", Usage: "jobs running at that size", Value: 3400},
 				},
@@ -104,10 +104,11 @@
 	return nil
 }
 
+// readPoints reads the points that 'rackstep capacity sample' printed, one JSON object a line.
 func readPoints(name string) ([]capacity.Point, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, cli.Exit(fmt.Errorf("read the points: %w", err), exitUsage)
+		return nil, cli.Exit(fmt.Errorf("read points: %w", err), exitUsage)
 	}
 	defer f.Close()
 	var points []capacity.Point
@@ -115,13 +116,14 @@
 	for lines.Scan() {
 		var p capacity.Point
 		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
-			return nil, cli.Exit(fmt.Errorf("read the points: %w", err), exitUsage)
+			return nil, cli.Exit(fmt.Errorf("read points: line %d of %s: %w", len(points)+1, name, err), exitUsage)
 		}
 		points = append(points, p)
 	}
 	return points, lines.Err()
 }
 
+// reportCapacity fits each figure to the points without load and prints the points and the fits.
 func reportCapacity(_ context.Context, c *cli.Command) error {
 	points, err := readPoints(c.Args().First())
 	if err != nil {
@@ -142,21 +144,21 @@
 		}
 		fits = append(fits, f)
 		if dir := c.String("plots"); dir != "" {
-			if err := draw(dir, fig, points); err != nil {
+			if err := drawFigure(dir, fig, points); err != nil {
 				return cli.Exit(err, exitFailed)
 			}
 		}
 	}
-	return show(c, fits, func(w *table) { printFits(w, points, fits, at, c.Int("jobs")) })
+	return printAnswer(c, fits, func(w *table) { printFits(w, points, fits, at, c.Int("jobs")) })
 }
 
 func printFits(w *table, points []capacity.Point, fits []capacity.Fit, at capacity.Size, jobs int) {
-	w.head("LOAD", "ENTRIES", "CENTRES", "WORKERS", "POOLS", "TEAMS", "JOBS", "CPU %", "MOST", "MEMORY MB", "PEERS KB/s", "PLATFORM KB/s", "RECORDS/s")
+	w.header("LOAD", "ENTRIES", "CENTRES", "WORKERS", "POOLS", "TEAMS", "JOBS", "CPU %", "MOST", "MEMORY MB", "PEERS KB/s", "PLATFORM KB/s", "RECORDS/s")
 	for _, p := range points {
 		w.row(p.Load, p.Entries, p.Centres, p.Workers, p.Pools, p.Teams, p.Jobs, fmt.Sprintf("%.2f", p.CPU), fmt.Sprintf("%.2f", p.MostCPU), fmt.Sprintf("%.1f", p.Memory/1e6),
 			fmt.Sprintf("%.2f", p.PeerBytes/1e3), fmt.Sprintf("%.2f", p.PlatformBytes/1e3), fmt.Sprintf("%.2f", p.Records))
 	}
-	w.head("FIGURE", "BASE", "PER ENTRY", "PER WORKER", "PER JOB", "ERROR", fmt.Sprintf("AT %d ENTRIES, %d WORKERS, %d JOBS", at.Entries, at.Workers, jobs), "LIMIT")
+	w.header("FIGURE", "BASE", "PER ENTRY", "PER WORKER", "PER JOB", "ERROR", fmt.Sprintf("AT %d ENTRIES, %d WORKERS, %d JOBS", at.Entries, at.Workers, jobs), "LIMIT")
 	for _, f := range fits {
 		limit := "-"
 		if f.Figure.Limit > 0 {
@@ -167,8 +169,9 @@
 	}
 }
 
-// draw plots the figure over the number of entries, a line for each number of workers.
-func draw(dir string, fig capacity.Figure, points []capacity.Point) error {
+// drawFigure plots the figure against the number of entries, with one line for each number of workers. Points under load or with
+// jobs are left out.
+func drawFigure(dir string, fig capacity.Figure, points []capacity.Point) error {
 	p := plot.New()
 	p.Title.Text = fig.Name + " of one entry"
 	p.X.Label.Text, p.Y.Label.Text = "entries", fig.Unit
@@ -181,14 +184,14 @@
 		}
 		lines[x.Workers] = append(lines[x.Workers], plotter.XY{X: float64(x.Entries), Y: fig.Of(x)})
 	}
-	for _, workers := range sortedInts(lines) {
+	for _, workers := range sortedKeys(lines) {
 		args = append(args, fmt.Sprintf("%d workers", workers), lines[workers])
 	}
 	if err := plotutil.AddLinePoints(p, args...); err != nil {
-		return fmt.Errorf("draw %s: %w", fig.Name, err)
+		return fmt.Errorf("plot %s: %w", fig.Name, err)
 	}
 	if err := p.Save(14*vg.Centimeter, 9*vg.Centimeter, filepath.Join(dir, "capacity-"+fig.Name+".svg")); err != nil {
-		return fmt.Errorf("draw %s: %w", fig.Name, err)
+		return fmt.Errorf("save the plot of %s: %w", fig.Name, err)
 	}
 	return nil
 }
--- a/cmd/rackstep/client.go
+++ b/cmd/rackstep/client.go
@@ -20,22 +20,22 @@
 	"rackstep.dev/serve"
 )
 
-// client returns the entry's operators' interface as the flags name it.
-func client(c *cli.Command) (*admin.Client, error) {
+// newClient returns a client of the entry that the flags and environment variables name.
+func newClient(c *cli.Command) (*admin.Client, error) {
 	address := c.String("entry")
 	if address == "" {
-		return nil, cli.Exit("no entry is named; use --entry or set RACKSTEP_ENTRY", exitUsage)
+		return nil, cli.Exit("no entry address given; use --entry or set RACKSTEP_ENTRY", exitUsage)
 	}
 	token := os.Getenv("RACKSTEP_TOKEN")
 	if file := c.String("token-file"); file != "" {
 		b, err := os.ReadFile(file)
 		if err != nil {
-			return nil, cli.Exit(fmt.Errorf("read the token: %w", err), exitUsage)
+			return nil, cli.Exit(fmt.Errorf("read token: %w", err), exitUsage)
 		}
 		token = strings.TrimSpace(string(b))
 	}
 	if token == "" {
-		return nil, cli.Exit("there is no token; set RACKSTEP_TOKEN or use --token-file", exitUsage)
+		return nil, cli.Exit("no token given; set RACKSTEP_TOKEN or use --token-file", exitUsage)
 	}
 	api := &admin.Client{Address: address, Token: token}
 	if file := c.String("authority"); file != "" {
@@ -49,8 +49,8 @@
 	return api, nil
 }
 
-// failure turns an entry's answer into an exit code.
-func failure(err error) error {
+// exitError wraps the error of a call with the exit code for it.
+func exitError(err error) error {
 	var p *serve.Problem
 	switch {
 	case err == nil:
@@ -70,7 +70,7 @@
 				Token string `json:"token"`
 				Hash  string `json:"token_hash"`
 			}{token, serve.TokenHash(token)}
-			return show(c, made, func(w *table) {
+			return printAnswer(c, made, func(w *table) {
 				w.line("token      %s", made.Token)
 				w.line("token_hash %s", made.Hash)
 			})
--- a/cmd/rackstep/explain.go
+++ b/cmd/rackstep/explain.go
@@ -14,7 +14,7 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "print one job's story in causal order, from the logs of several entries",
+		Name: "explain", Usage: "print the events of one job in causal order, from the logs of several entries",
 		ArgsUsage: "ID FILE...", Action: explain,
 	}
 }
@@ -22,23 +22,23 @@
 func explain(_ context.Context, c *cli.Command) error {
 	args := c.Args().Slice()
 	if len(args) < 2 {
-		return cli.Exit("give the job's ID and one log file or more", exitUsage)
+		return cli.Exit("give a job's ID and at least one log file", exitUsage)
 	}
 	logs, err := readLogs(args[1:])
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	story := event.JobHistory(args[0], logs)
-	for _, l := range story {
+	history := event.JobHistory(args[0], logs)
+	for _, l := range history {
 		fmt.Println(l)
 	}
-	if len(story) == 0 {
-		return cli.Exit("no line of these logs is about the job; it may have come through another entry", exitFailed)
+	if len(history) == 0 {
+		return cli.Exit(fmt.Sprintf("these logs contain no event of job %s; another entry may have accepted it, give the logs of all entries", args[0]), exitFailed)
 	}
 	return nil
 }
 
-// readLogs reads the logs of several entries.
+// readLogs reads one log file for each entry.
 func readLogs(names []string) ([][]event.LogLine, error) {
 	var logs [][]event.LogLine
 	for _, name := range names {
@@ -54,9 +54,12 @@
 func readLog(name string) ([]event.LogLine, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, fmt.Errorf("log: %w", err)
+		return nil, fmt.Errorf("open log: %w", err)
 	}
 	defer f.Close()
 	lines, _, err := event.ReadLog(f)
-	return lines, err
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", name, err)
+	}
+	return lines, nil
 }
--- a/cmd/rackstep/main.go
+++ b/cmd/rackstep/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Command rackstep is the operators' command line.
+// Command rackstep is the command line for operators of a site.
 package main
 
 import (
@@ -17,9 +17,9 @@
 
 // Exit codes; docs/operations/commands.md lists them.
 const (
-	exitFailed  = 1 // the entry refused, or a promise was broken in a trial
-	exitUsage   = 2 // the command line or a file is faulty
-	exitUnknown = 3 // the outcome is unknown; ask again with the ID
+	exitFailed  = 1 // the request was refused, or a trial broke a promise
+	exitUsage   = 2 // the command line or a file is invalid; nothing was sent
+	exitUnknown = 3 // the outcome is unknown; repeat the request with the same ID
 )
 
 func main() {
@@ -52,11 +52,11 @@
 func commands() []*cli.Command {
 	return []*cli.Command{
 		applyCommand(), diffCommand(), planCommand(), showPlanCommand(),
-		orderCommand(fleet.OrderConfirm, "begin a plan"),
-		orderCommand(fleet.OrderPause, "take out no further instance; what is out is finished"),
-		orderCommand(fleet.OrderResume, "go on with a paused plan"),
-		orderCommand(fleet.OrderCancel, "end a plan; what is drained returns, what is rebooting is finished"),
-		orderCommand(fleet.OrderReturn, "bring the instances back that a plan holds out of service"),
+		orderCommand(fleet.OrderConfirm, "start a plan"),
+		orderCommand(fleet.OrderPause, "take no further instances out of service; steps in progress are finished"),
+		orderCommand(fleet.OrderResume, "resume a paused plan"),
+		orderCommand(fleet.OrderCancel, "cancel a plan; drained instances return to service, reboots in progress are finished"),
+		orderCommand(fleet.OrderReturn, "return the instances to service that a plan holds out"),
 		explainCommand(), leadsCommand(), drainsCommand(), lossesCommand(), statusCommand(), instancesCommand(), jobsCommand(), timelineCommand(), resultCommand(),
 		tokenCommand(), tryCommand(), standinCommand(), capacityCommand(), eventsCommand(),
 	}
--- a/cmd/rackstep/output.go
+++ b/cmd/rackstep/output.go
@@ -14,16 +14,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// table writes lines and aligned rows.
+// table writes plain lines and aligned rows.
 type table struct{ w *tabwriter.Writer }
 
 func (t *table) line(format string, args ...any) {
-	_ = t.w.Flush() // rows before the line are aligned among themselves
+	_ = t.w.Flush() // align the rows before the line independently of those after it
 	fmt.Fprintf(t.w, format+"\n", args...)
 	_ = t.w.Flush()
 }
 
-func (t *table) head(names ...string) {
+func (t *table) header(names ...string) {
 	_ = t.w.Flush()
 	fmt.Fprintln(t.w, strings.Join(names, "\t"))
 }
@@ -38,8 +38,8 @@
 	fmt.Fprintln(t.w)
 }
 
-// show prints the answer as the output flag says.
-func show(c *cli.Command, answer any, asTable func(*table)) error {
+// printAnswer prints the answer in the format of the flag --output: as JSON, or as the table that asTable writes.
+func printAnswer(c *cli.Command, answer any, asTable func(*table)) error {
 	switch format := c.String("output"); format {
 	case "json":
 		enc := json.NewEncoder(os.Stdout)
@@ -54,4 +54,5 @@
 	}
 }
 
-func sortedInts[V any](m map[int]V) []int { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns the keys of m in ascending order.
+func sortedKeys[V any](m map[int]V) []int { return slices.Sorted(maps.Keys(m)) }
--- a/cmd/rackstep/plan.go
+++ b/cmd/rackstep/plan.go
@@ -22,20 +22,21 @@
 		Name: "plan", Usage: "state an intent and print the plan; nothing happens until it is confirmed",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "empty-rack", Usage: "maintain every instance of `RACK`"},
-			&cli.StringFlag{Name: "empty-data-centre", Usage: "take `DATA-CENTRE` out"},
+			&cli.StringFlag{Name: "empty-data-centre", Usage: "take all instances of `DATA-CENTRE` out of service"},
 			&cli.StringFlag{Name: "maintain", Usage: "maintain `POOL`, or all pools with 'all'"},
-			&cli.DurationFlag{Name: "older-than", Usage: "with --maintain: only instances not maintained for this long"},
-			&cli.StringFlag{Name: "move", Usage: "move `INSTANCE,...` to the pool of --to"},
-			&cli.StringFlag{Name: "to", Usage: "with --move: the `POOL`"},
-			&cli.StringFlag{Name: "replace", Usage: "stop `INSTANCE,...` for good"},
-			&cli.BoolFlag{Name: "hold", Usage: "with --empty-rack or --empty-data-centre: keep the instances out until 'rackstep return'"},
+			&cli.DurationFlag{Name: "older-than", Usage: "with --maintain: only instances whose last maintenance is at least this long ago"},
+			&cli.StringFlag{Name: "move", Usage: "move `INSTANCE,...` to the pool given by --to"},
+			&cli.StringFlag{Name: "to", Usage: "with --move: the target `POOL`"},
+			&cli.StringFlag{Name: "replace", Usage: "stop `INSTANCE,...` permanently"},
+			&cli.BoolFlag{Name: "hold", Usage: "with --empty-rack or --empty-data-centre: keep the instances out of service until 'rackstep return'"},
 			&cli.BoolFlag{Name: "confirm", Usage: "confirm the plan at once"},
 		},
 		Action: makePlan,
 	}
 }
 
-func intentOf(c *cli.Command) (fleet.Intent, error) {
+// intentFromFlags returns the one intent that the flags state.
+func intentFromFlags(c *cli.Command) (fleet.Intent, error) {
 	var found []fleet.Intent
 	if v := c.String("empty-rack"); v != "" {
 		found = append(found, fleet.Intent{Kind: fleet.IntentEmptyRack, Rack: v})
@@ -63,36 +64,36 @@
 		found[i].Hold = c.Bool("hold")
 	}
 	if len(found) != 1 {
-		return fleet.Intent{}, cli.Exit("state one intent; see 'rackstep plan --help'", exitUsage)
+		return fleet.Intent{}, cli.Exit("give exactly one intent; see 'rackstep plan --help'", exitUsage)
 	}
 	return found[0], nil
 }
 
 func makePlan(ctx context.Context, c *cli.Command) error {
-	intent, err := intentOf(c)
+	intent, err := intentFromFlags(c)
 	if err != nil {
 		return err
 	}
-	api, err := client(c)
+	api, err := newClient(c)
 	if err != nil {
 		return err
 	}
 	p, err := api.Plan(ctx, intent)
 	if err != nil {
-		return failure(err)
+		return exitError(err)
 	}
-	if err := show(c, p, func(w *table) { printPlan(w, p) }); err != nil {
+	if err := printAnswer(c, p, func(w *table) { printPlan(w, p) }); err != nil {
 		return err
 	}
-	if len(p.Steps) == 0 || (!c.Bool("confirm") && !asked(fmt.Sprintf("confirm plan %s? [y/N] ", p.ID))) {
+	if len(p.Steps) == 0 || (!c.Bool("confirm") && !askConfirmation(fmt.Sprintf("confirm plan %s? [y/N] ", p.ID))) {
 		return nil
 	}
 	_, err = api.Order(ctx, p.ID, fleet.OrderConfirm)
-	return failure(err)
+	return exitError(err)
 }
 
-// asked asks on a terminal; elsewhere the answer is no.
-func asked(question string) bool {
+// askConfirmation asks a yes-or-no question if standard input is a terminal. Otherwise it returns false without asking.
+func askConfirmation(question string) bool {
 	if !term.IsTerminal(int(os.Stdin.Fd())) {
 		return false
 	}
@@ -107,7 +108,7 @@
 	w.line("%d steps in %d waves; expected roll-out time %s (bound %s), job moves %d (bound %d), at most %d instances out at once (bound %d)",
 		len(p.Steps), p.Waves, e.RollOut, e.RollOutBound, e.Moves, e.MovesBound, e.Buffer, e.BufferBound)
 	if len(p.Steps) > 0 {
-		w.head("WAVE", "INSTANCE", "ACTION", "FROM", "TO", "STATE")
+		w.header("WAVE", "INSTANCE", "ACTION", "FROM", "TO", "STATE")
 		for _, s := range p.Steps {
 			w.row(s.Wave+1, s.Instance, s.Action, s.From, s.To, s.State)
 		}
@@ -121,18 +122,18 @@
 	return &cli.Command{
 		Name: string(order), Usage: usage, ArgsUsage: "PLAN",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			if c.Args().First() == "" {
-				return cli.Exit("name the plan; 'rackstep status' lists the plans", exitUsage)
+				return cli.Exit("no plan given; 'rackstep status' lists the plans", exitUsage)
 			}
 			done, err := api.Order(ctx, c.Args().First(), order)
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
-			return show(c, done, func(w *table) { w.line("%s accepted at offset %d", order, done.Offset) })
+			return printAnswer(c, done, func(w *table) { w.line("%s accepted at offset %d", order, done.Offset) })
 		},
 	}
 }
@@ -141,15 +142,15 @@
 	return &cli.Command{
 		Name: "show", Usage: "print a plan and the state of its steps", ArgsUsage: "PLAN",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			p, err := api.GetPlan(ctx, c.Args().First())
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
-			return show(c, p, func(w *table) { printPlan(w, p) })
+			return printAnswer(c, p, func(w *table) { printPlan(w, p) })
 		},
 	}
 }
--- a/cmd/rackstep/standin.go
+++ b/cmd/rackstep/standin.go
@@ -20,13 +20,13 @@
 	"rackstep.dev/provider"
 )
 
-// standinSettings describe a stand-in platform and its instances.
+// standinSettings configure the stand-in platform and its instances.
 type standinSettings struct {
-	// Address is where the platform listens.
+	// Address is the address that the platform listens on.
 	Address string `json:"address"`
 	// RebootTime is how long a reboot takes; 2s when 0.
 	RebootTime fleet.Duration `json:"reboot_time"`
-	// Instances are listed; a worker with an address gets a target that listens there.
+	// Instances are the instances that the platform lists. For each worker with an address a target listens there.
 	Instances []standinInstance `json:"instances"`
 }
 
@@ -42,7 +42,7 @@
 
 func standinCommand() *cli.Command {
 	return &cli.Command{
-		Name: "standin", Usage: "run a stand-in for the platform and its targets, for trials on one machine", ArgsUsage: "FILE",
+		Name: "standin", Usage: "run a simulated platform and its targets, for trials on one machine", ArgsUsage: "FILE",
 		Action: runStandin,
 	}
 }
@@ -51,7 +51,7 @@
 	name := c.Args().First()
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return cli.Exit(fmt.Errorf("read the stand-in's settings: %w", err), exitUsage)
+		return cli.Exit(fmt.Errorf("read stand-in settings: %w", err), exitUsage)
 	}
 	var s standinSettings
 	problems := config.Decode(name, data, &s)
@@ -81,27 +81,27 @@
 		}
 		p.Put(row, target)
 	}
-	return serveAll(ctx, servers)
+	return runServers(ctx, servers)
 }
 
-// serveAll runs the servers until the context ends or one fails; they end together.
-func serveAll(ctx context.Context, servers []*http.Server) error {
-	failed := make(chan error, len(servers))
+// runServers runs the servers until the context ends or one of them fails, then closes all of them.
+func runServers(ctx context.Context, servers []*http.Server) error {
+	errs := make(chan error, len(servers))
 	for _, srv := range servers {
 		ln, err := net.Listen("tcp", srv.Addr)
 		if err != nil {
 			return cli.Exit(fmt.Errorf("listen: %w", err), exitFailed)
 		}
-		go func() { failed <- srv.Serve(ln) }()
+		go func() { errs <- srv.Serve(ln) }()
 	}
 	fmt.Printf("stand-in platform on %s with %d targets\n", servers[0].Addr, len(servers)-1)
 	var err error
 	select {
 	case <-ctx.Done():
-	case err = <-failed:
+	case err = <-errs:
 	}
 	for _, srv := range slices.Backward(servers) {
-		_ = srv.Close() // it is the end
+		_ = srv.Close() // the process ends; an error changes nothing
 	}
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return cli.Exit(err, exitFailed)
--- a/cmd/rackstep/status.go
+++ b/cmd/rackstep/status.go
@@ -25,16 +25,16 @@
 }
 
 func status(ctx context.Context, c *cli.Command) error {
-	api, err := client(c)
+	api, err := newClient(c)
 	if err != nil {
 		return err
 	}
 	for {
 		st, err := api.Status(ctx)
 		if err != nil {
-			return failure(err)
+			return exitError(err)
 		}
-		if err := show(c, st, func(w *table) { printStatus(w, st) }); err != nil {
+		if err := printAnswer(c, st, func(w *table) { printStatus(w, st) }); err != nil {
 			return err
 		}
 		if !c.Bool("watch") {
@@ -50,7 +50,7 @@
 
 func printStatus(w *table, st admin.Status) {
 	w.line("entry %s: version %d at offset %d; %d requests in flight, %d waiting, %d slots, %d claims", st.Entry, st.Version, st.Offset, st.InFlight, st.Waiting, st.Slots, st.Claims)
-	w.head("ENTRY", "DATA CENTRE", "VERSION", "OFFSET", "HEARD", "LOG", "STATE")
+	w.header("ENTRY", "DATA CENTRE", "VERSION", "OFFSET", "HEARD", "LOG", "STATE")
 	for _, e := range st.Entries {
 		log, state := "reachable", "serving"
 		if !e.LogReachable {
@@ -61,12 +61,12 @@
 		}
 		w.row(e.Entry, e.DataCentre, e.Version, e.Offset, e.Age.Std().String()+" ago", log, state)
 	}
-	w.head("SERVICE", "POOL", "MARGIN")
+	w.header("SERVICE", "POOL", "MARGIN")
 	for _, s := range st.Services {
 		w.row(s.Service, s.Pool, s.Margin)
 	}
 	if len(st.Plans) > 0 {
-		w.head("PLAN", "INTENT", "STATE", "STEPS", "DONE", "OUT")
+		w.header("PLAN", "INTENT", "STATE", "STEPS", "DONE", "OUT")
 	}
 	for _, p := range st.Plans {
 		w.row(p.ID, p.Intent, p.State, p.Steps, p.Done, p.Out)
@@ -75,7 +75,7 @@
 		}
 	}
 	if len(st.Teams) > 0 {
-		w.head("TEAM", "CORES", "QUOTA")
+		w.header("TEAM", "CORES", "QUOTA")
 	}
 	for _, t := range st.Teams {
 		w.row(t.Team, t.Cores, t.Quota)
@@ -89,25 +89,26 @@
 	return &cli.Command{
 		Name: "instances", Usage: "print every instance with its pool and state",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			list, err := api.Instances(ctx)
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
-			return show(c, list, func(w *table) {
-				w.head("INSTANCE", "DATA CENTRE", "RACK", "POOL", "STATE", "LISTED", "PLAN")
+			return printAnswer(c, list, func(w *table) {
+				w.header("INSTANCE", "DATA CENTRE", "RACK", "POOL", "STATE", "LISTED", "PLAN")
 				for _, in := range list {
-					w.row(in.ID, in.DataCentre, in.Rack, in.Pool, in.State, listedAs(in), in.Plan)
+					w.row(in.ID, in.DataCentre, in.Rack, in.Pool, in.State, platformState(in), in.Plan)
 				}
 			})
 		},
 	}
 }
 
-func listedAs(in fleet.Instance) string {
+// platformState returns how the platform lists the instance, or "quarantined" for one that gets no jobs.
+func platformState(in fleet.Instance) string {
 	switch {
 	case in.Down:
 		return "down"
@@ -123,33 +124,33 @@
 	return &cli.Command{
 		Name: "jobs", Usage: "print every job with its state",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			list, err := api.Jobs(ctx)
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
-			return show(c, list, func(w *table) {
-				w.head("JOB", "TEAM", "POOL", "STATE", "INSTANCE", "ATTEMPT", "MOVES", "CORES", "NOTE")
+			return printAnswer(c, list, func(w *table) {
+				w.header("JOB", "TEAM", "POOL", "STATE", "INSTANCE", "ATTEMPT", "MOVES", "CORES", "NOTE")
 				for i := range list {
 					j := &list[i]
-					w.row(j.ID, j.Team, j.Spec.Pool, j.State, j.Instance, j.Attempt, j.Moves, coresOf(j), j.Note)
+					w.row(j.ID, j.Team, j.Spec.Pool, j.State, j.Instance, j.Attempt, j.Moves, describeCores(j), j.Note)
 				}
 			})
 		},
 	}
 }
 
-// coresOf tells the cores that the job declared, and what it uses and is held to where that differs.
-func coresOf(j *fleet.Job) string {
+// describeCores returns the cores that the job declared, the cores that it uses if they differ, and the limit that it is throttled to.
+func describeCores(j *fleet.Job) string {
 	text := fmt.Sprint(j.Spec.Cores)
 	if j.Used.Cores > 0 && j.Used.Cores != j.Spec.Cores {
 		text += fmt.Sprintf(", uses %d", j.Used.Cores)
 	}
 	if j.Limit > 0 {
-		text += fmt.Sprintf(", held to %d", j.Limit)
+		text += fmt.Sprintf(", limited to %d", j.Limit)
 	}
 	return text
 }
@@ -158,18 +159,18 @@
 	return &cli.Command{
 		Name: "result", Usage: "ask what became of a record whose outcome was unknown", ArgsUsage: "ID",
 		Action: func(ctx context.Context, c *cli.Command) error {
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			known, err := api.Result(ctx, c.Args().First())
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
-			return show(c, known, func(w *table) {
+			return printAnswer(c, known, func(w *table) {
 				switch {
 				case !known.Found:
-					w.line("not folded so far; it may still be, give the same --id to apply it")
+					w.line("not folded so far, but it may still be; apply it again with the same --id")
 				case known.Refusal != nil:
 					w.line("%v", known.Refusal)
 				default:
@@ -188,26 +189,26 @@
 			&cli.StringFlag{Name: "job", Usage: "only events about `JOB`"}, &cli.StringFlag{Name: "request", Usage: "only events about `REQUEST`"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			api, err := client(c)
+			api, err := newClient(c)
 			if err != nil {
 				return err
 			}
 			line, err := api.TimeLine(ctx, event.Subject{Plan: c.String("plan"), Instance: c.String("instance"), Job: c.String("job"), Request: c.String("request")})
 			if err != nil {
-				return failure(err)
+				return exitError(err)
 			}
-			return show(c, line, func(w *table) { printLine(w, line) })
+			return printAnswer(c, line, func(w *table) { printTimeLine(w, line) })
 		},
 	}
 }
 
-func printLine(w *table, line admin.Line) {
-	w.head("OFFSET", "ENTRY", "TIME", "EVENT", "ABOUT", "TEXT")
+func printTimeLine(w *table, line admin.Line) {
+	w.header("OFFSET", "ENTRY", "TIME", "EVENT", "ABOUT", "TEXT")
 	for _, e := range line.Events {
 		about := strings.Join(slices.DeleteFunc([]string{e.Plan, e.Instance, e.Job, e.Request, e.Subject.Entry}, func(s string) bool { return s == "" }), " ")
 		w.row(e.Offset, e.Entry, e.Time.UTC().Format("15:04:05.000"), fmt.Sprintf("%d %s", e.Number, e.Name), about, e.Text)
 	}
 	for _, id := range line.Unreached {
-		w.line("not asked: entry %s can't be reached from here", id)
+		w.line("incomplete: entry %s can't be reached from the entry that was asked", id)
 	}
 }
--- a/cmd/rackstep/try.go
+++ b/cmd/rackstep/try.go
@@ -19,8 +19,8 @@
 		Usage: "run a whole site in this process and print what became of every request",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "sizes", Usage: "`SIZE` of the site: small, muscat or norrskalv", Value: "small"},
-			&cli.BoolFlag{Name: "platform", Usage: "run entries on a stand-in of the users' platform: jobs, and a leader that is cut off"},
-			&cli.StringFlag{Name: "fault", Usage: "throw the fault `NAME` while the plan runs; 'list' lists them"},
+			&cli.BoolFlag{Name: "platform", Usage: "run entries on a simulation of the users' platform, with jobs and a leader that loses its connections"},
+			&cli.StringFlag{Name: "fault", Usage: "inject the fault `NAME` while the plan runs; 'list' lists the faults"},
 		},
 		Action: try,
 	}
@@ -43,7 +43,7 @@
 		}
 		return nil
 	}
-	fault, err := faultNamed(c.String("fault"))
+	fault, err := findFault(c.String("fault"))
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func faultNamed(name string) (trial.Fault, error) {
+func findFault(name string) (trial.Fault, error) {
 	if name == "" {
 		return trial.Fault{}, nil
 	}
@@ -68,5 +68,5 @@
 		}
 		names = append(names, f.Name)
 	}
-	return trial.Fault{}, fmt.Errorf("fault %q is not known; use one of %s", name, strings.Join(names, ", "))
+	return trial.Fault{}, fmt.Errorf("unknown fault %q; use one of %s", name, strings.Join(names, ", "))
 }
--- a/cmd/rackstepd/main.go
+++ b/cmd/rackstepd/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Command rackstepd is one entry instance: it takes callers' requests, routes them to targets, and carries out operators' plans.
+// Command rackstepd runs one entry: it accepts callers' requests, routes them to targets and executes operators' plans.
 package main
 
 import (
@@ -29,12 +29,12 @@
 	defer stop()
 	cmd := &cli.Command{
 		Name:  "rackstepd",
-		Usage: "run one entry instance until SIGTERM, which is a planned stop",
+		Usage: "run one entry until SIGTERM, which starts a graceful stop",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "config", Usage: "settings `FILE`, JSON with comments"},
 			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
 		},
-		Action:   start,
+		Action:   runEntry,
 		Commands: []*cli.Command{platformCommand()},
 	}
 	if err := cmd.Run(ctx, os.Args); err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func start(ctx context.Context, c *cli.Command) error {
+func runEntry(ctx context.Context, c *cli.Command) error {
 	s, problems, err := config.Load(c.String("config"))
 	if err != nil {
 		return cli.Exit(err, exitSettings)
@@ -55,7 +55,7 @@
 		return cli.Exit(fmt.Sprintf("%d problems in the settings", len(problems)), exitSettings)
 	}
 	if c.Bool("check") {
-		fmt.Println("settings are sound")
+		fmt.Println("settings are valid")
 		return nil
 	}
 	logger := log.With(log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr)), "time", log.DefaultTimestampUTC)
