--- a/control/execute.go
+++ b/control/execute.go
@@ -156,5 +156,5 @@
 	case provider.CommandExpired:
 		return plan.CommandExpired
 	}
-	return plan.CommandAbsent
+	return plan.CommandUnknown
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -185,9 +185,9 @@
 		Entry: s.Entry, Intake: intakes, State: store.Own(stateTopic, 0), Workers: store.Workers(),
 		ParseWorker: platform.ParseWorker, Calls: workers.Calls(), Machines: machines.Calls(),
 		PutWave: platform.PutWave(store.Status()), Events: n.Events,
-		BatchMost:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
-		RecordMost: s.Store.MaxRecordBytes,
-		Processor:  s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesOfMbit,
+		MaxBatchBytes:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
+		MaxRecordBytes: s.Store.MaxRecordBytes,
+		Processor:      s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesOfMbit,
 	}
 	n.scheduler.SetBounds(boundsOf(s))
 	if n.metrics.scope != nil {
@@ -199,11 +199,11 @@
 	n.elector = &lead.Elector{
 		Clock: n.Clock,
 		Entry: s.Entry, Address: peers.Addr().String(), Boot: n.boot, Topic: store.Own(leadTopic, 0), Events: n.Events,
-		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, Seen: n.followLeader,
-		May: func() bool { return n.ingress.Ready() },
+		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, OnRecord: n.followLeader,
+		Eligible: func() bool { return n.ingress.Ready() },
 	}
-	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.Lost, n.elector.HandOver
-	n.scheduler.SetLoose, n.scheduler.LooseKept, n.scheduler.SetEarlier = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
+	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.StepDown, n.elector.HandOver
+	n.scheduler.AnnounceUnstoredOrders, n.scheduler.UnstoredOrdersAnnounced, n.scheduler.PublishEarlierLeaders = n.elector.SetUnstored, n.elector.UnstoredPublished, n.elector.SetPredecessors
 	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[partOf(s.Entry, len(intakes))]}, Ask: n.ask, Events: n.Events}}
 	n.follower = &platform.Follower{Topic: store.Operator(), Events: n.Events, Clock: n.Clock, Within: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
 		n.ingress.SetConfig(c)
@@ -215,12 +215,12 @@
 }
 
 // patienceOf returns how long an entry that can't read the configuration goes by what it has.
-func patienceOf(b platform.Bounds) org.Patience {
+func patienceOf(b platform.Bounds) org.StalenessLimits {
 	apply := platform.Millis(b.ApplyMillis)
 	if apply == 0 {
-		return org.Patience{} // the deployment states no bound
+		return org.StalenessLimits{} // the deployment states no bound
 	}
-	return org.Patience{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
+	return org.StalenessLimits{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
 }
 
 // woke tells that the machine was suspended: all that was learned before proves nothing until it is learned again.
@@ -252,7 +252,7 @@
 }
 
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
-	if !n.ingress.Ready() || n.elector.Silence() > unreadyAfter {
+	if !n.ingress.Ready() || n.elector.UnansweredFor() > unreadyAfter {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
