--- a/admin/server.go
+++ b/admin/server.go
@@ -20,17 +20,17 @@
 // Server serves the operators' interface. Set the fields before use.
 type Server struct {
 	// BootstrapTokenHash is the hash of the token that may publish the first configuration; no token may when it is empty.
-	Bootstrap string
+	BootstrapTokenHash string
 	// Metrics serves the path /metrics; there are no metrics when it is nil.
 	Metrics http.Handler
 	// Publish appends a record to the log on behalf of an operator and waits for the fold's result.
 	Publish func(ctx context.Context, by string, r fleet.Record) (fleet.Result, error)
 	// ReadTables calls f with the tables, which are nil while the entry has none. f must not retain them.
-	Read func(ctx context.Context, f func(t *fleet.Tables)) error
+	ReadTables func(ctx context.Context, f func(t *fleet.Tables)) error
 	// Status returns the state of the site as the entry knows it.
 	Status func(ctx context.Context) (Status, error)
 	// MakePlan makes a plan with the given ID from the tables.
-	Plan func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error)
+	MakePlan func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error)
 	// TimeLine returns the events about a subject from all reachable entries, and the names of the entries that could not be reached.
 	TimeLine func(ctx context.Context, about event.Subject) ([]event.Event, []string)
 
@@ -99,7 +99,7 @@
 // configuration.
 func (s *Server) operator(r *http.Request) (name string, configured bool, err error) {
 	hash := serve.TokenHash(org.KeyOf(r.Header.Get("Authorization")))
-	err = s.Read(r.Context(), func(t *fleet.Tables) {
+	err = s.ReadTables(r.Context(), func(t *fleet.Tables) {
 		if t == nil {
 			return
 		}
@@ -143,10 +143,10 @@
 }
 
 func (s *Server) getConfiguration(c operatorRequest) {
-	var current Current
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	var current CurrentConfiguration
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t != nil {
-			current = Current{Version: t.Version, Configuration: t.Configuration}
+			current = CurrentConfiguration{Version: t.Version, Configuration: t.Configuration}
 		}
 	})
 	if err != nil {
@@ -162,14 +162,14 @@
 		writeError(w, err)
 		return
 	}
-	if !configured && s.Bootstrap != "" && serve.SameHash(s.Bootstrap, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
+	if !configured && s.BootstrapTokenHash != "" && serve.SameHash(s.BootstrapTokenHash, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
 		name = "bootstrap"
 	}
 	if name == "" {
 		writeUnauthorized(w)
 		return
 	}
-	var a Apply
+	var a ApplyRequest
 	if !decodeBody(r, w, &a) {
 		return
 	}
@@ -221,7 +221,7 @@
 // writeFromTables responds with the value that body returns for the tables, which are empty while the entry has none.
 func (s *Server) writeFromTables(c operatorRequest, body func(*fleet.Tables) any) {
 	var value any
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			t = fleet.New()
 		}
@@ -237,7 +237,7 @@
 func (s *Server) getResult(c operatorRequest) {
 	id := c.r.PathParameter("id")
 	s.writeFromTables(c, func(t *fleet.Tables) any {
-		result := Known{ID: id}
+		result := RecordResult{ID: id}
 		if res := t.Result(id); res != nil {
 			result.Found, result.Version, result.Refusal = true, res.Version, res.Refusal
 		}
@@ -249,7 +249,7 @@
 	q := c.r.Request.URL.Query()
 	about := event.Subject{Plan: q.Get("plan"), Instance: q.Get("instance"), Job: q.Get("job"), Request: q.Get("request")}
 	events, unreached := s.TimeLine(c.context(), about)
-	writeJSON(c.w, http.StatusOK, Line{Events: events, Unreached: unreached})
+	writeJSON(c.w, http.StatusOK, TimeLine{Events: events, Unreached: unreached})
 }
 
 func (s *Server) postPlan(c operatorRequest) {
@@ -259,11 +259,11 @@
 	}
 	var p fleet.Plan
 	var planErr error
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			t = fleet.New()
 		}
-		p, planErr = s.Plan(t, "plan-"+rand.Text()[:8], intent)
+		p, planErr = s.MakePlan(t, "plan-"+rand.Text()[:8], intent)
 	})
 	switch {
 	case err != nil:
@@ -284,7 +284,7 @@
 
 func (s *Server) getPlan(c operatorRequest) {
 	var p *fleet.Plan
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			return
 		}
--- a/admin/wire.go
+++ b/admin/wire.go
@@ -10,7 +10,7 @@
 )
 
 // ApplyRequest asks to publish a configuration that was derived from version Base.
-type Apply struct {
+type ApplyRequest struct {
 	// ID is the ID of the record. Records with the same ID are folded only once, so that a request can be repeated.
 	ID            string              `json:"id"`
 	Base          uint64              `json:"base"`
@@ -25,7 +25,7 @@
 }
 
 // CurrentConfiguration is the configuration in force at the entry that answers.
-type Current struct {
+type CurrentConfiguration struct {
 	Version       uint64              `json:"version"`
 	Configuration fleet.Configuration `json:"configuration"`
 }
@@ -99,13 +99,13 @@
 }
 
 // TimeLine holds the events of all reachable entries in order, and the names of the entries that could not be reached.
-type Line struct {
+type TimeLine struct {
 	Events    []event.Event `json:"events"`
 	Unreached []string      `json:"unreached"`
 }
 
 // RecordResult is what an entry knows about the record with an ID. Found is false while the entry has not folded such a record.
-type Known struct {
+type RecordResult struct {
 	ID      string         `json:"id"`
 	Found   bool           `json:"found"`
 	Version uint64         `json:"version"`
--- a/config/settings.go
+++ b/config/settings.go
@@ -84,7 +84,7 @@
 }
 
 // LoadPeerSecret returns the peers' shared secret, which it reads from PeerSecretFile if that is set.
-func (s Settings) Secret() ([]byte, error) {
+func (s Settings) LoadPeerSecret() ([]byte, error) {
 	if s.PeerSecretFile == "" {
 		return []byte(s.PeerSecret), nil
 	}
--- a/config/tls.go
+++ b/config/tls.go
@@ -14,7 +14,7 @@
 var ErrNoCertificate = errors.New("the file contains no PEM certificate; set the file of the authority's certificate")
 
 // ServerConfig returns the TLS configuration of the callers' and operators' addresses, nil if TLS is not enabled.
-func (t TLS) Server() (*tls.Config, error) {
+func (t TLS) ServerConfig() (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
 	}
@@ -27,12 +27,12 @@
 
 // PeerConfig returns the TLS configuration of the links between entries, for both the client and the server side, nil if TLS is not
 // enabled.
-func (t TLS) Peers() (*tls.Config, error) {
-	c, err := t.Server()
+func (t TLS) PeerConfig() (*tls.Config, error) {
+	c, err := t.ServerConfig()
 	if c == nil || err != nil {
 		return nil, err
 	}
-	pool, err := Authority(t.Authority)
+	pool, err := LoadAuthority(t.Authority)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 }
 
 // LoadAuthority reads the certificates to trust from a PEM file.
-func Authority(name string) (*x509.CertPool, error) {
+func LoadAuthority(name string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("read the authority's certificate: %w", err)
--- a/control/usage.go
+++ b/control/usage.go
@@ -41,7 +41,7 @@
 	if report != nil {
 		u.latest[u.next] = *report
 		u.next = (u.next + 1) % usageKept
-		u.longest, u.told = report.Ran, now
+		u.longest, u.told = report.RunTime, now
 	}
 	return u
 }
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -76,7 +76,7 @@
 
 // serveStream answers another entry.
 func (n *Node) serveStream(ctx context.Context, from peer.Identity, open *peerpb.Open, s *peer.Stream) {
-	if n.peers.heard(from.Entry, n.mesh.Up) {
+	if n.peers.heard(from.Entry, n.mesh.ConnectedPeers) {
 		n.linkPeers()
 	}
 	var answer proto.Message
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -72,7 +72,7 @@
 	}
 	restart := s.Listen != n.Settings.Listen || s.Store.Address != n.Settings.Store.Address || s.Machines.Address != n.Settings.Machines.Address
 	n.scheduler.SetBounds(boundsOf(s))
-	n.ingress.SetPatience(patienceOf(s.Bounds))
+	n.ingress.SetStalenessLimits(patienceOf(s.Bounds))
 	n.Events.Emit(event.SettingsReloaded, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("bounds in force; addresses changed, which needs a restart: %t", restart))
 }
 
--- a/event/ring.go
+++ b/event/ring.go
@@ -117,7 +117,7 @@
 }
 
 // SortTimeLine sorts the events of several entries by offset, then by entry and sequence. Times are ignored.
-func Order(events []Event) {
+func SortTimeLine(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Offset, b.Offset), cmp.Compare(a.Entry, b.Entry), cmp.Compare(a.Sequence, b.Sequence))
 	})
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -121,7 +121,7 @@
 	a, err := i.Ask(ctx, q)
 	if err != nil {
 		err = fmt.Errorf("%w: %w", ErrUnclear, err)
-		i.Events.Emit(event.JobAnswered, event.Subject{Job: q.ID}, err.Error())
+		i.Events.Emit(event.JobUnanswered, event.Subject{Job: q.ID}, err.Error())
 	}
 	return a, err
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -51,7 +51,7 @@
 	// Dial opens a connection; nil uses the default dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Partitioned reports whether communication with the entry is blocked. Tests use it to inject faults; it is nil in operation.
-	Cut func(entry string) bool
+	Partitioned func(entry string) bool
 	// Events receives an event when a link goes up or down.
 	Events *event.Ring
 	// Meter counts the bytes on all links; may be nil.
@@ -196,7 +196,7 @@
 	return <-next
 }
 
-func (m *Mesh) isPartitioned(entry string) bool { return m.Cut != nil && m.Cut(entry) }
+func (m *Mesh) isPartitioned(entry string) bool { return m.Partitioned != nil && m.Partitioned(entry) }
 
 // SetPeers sets the peers to maintain links to. Links to other peers are closed.
 func (m *Mesh) SetPeers(ctx context.Context, peers []Address) {
@@ -274,7 +274,7 @@
 }
 
 // ExitedPeers returns the peers whose hosts repeatedly refused connections, sorted by name. Their processes have most likely exited.
-func (m *Mesh) Gone() []string {
+func (m *Mesh) ExitedPeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var gone []string
@@ -335,7 +335,7 @@
 }
 
 // ConnectedPeers returns the peers with an open outgoing link, sorted by name.
-func (m *Mesh) Up() []string {
+func (m *Mesh) ConnectedPeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var up []string
--- a/pool/orders.go
+++ b/pool/orders.go
@@ -242,7 +242,7 @@
 	}
 	r.stopSent, r.sentAt = true, c.now()
 	t.Stopping = true
-	c.emit(event.RunStopped, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", r.number, why)
+	c.emit(event.StopOrdered, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", r.number, why)
 	c.sendStop(w, t, r.number)
 }
 
@@ -252,7 +252,7 @@
 		return
 	}
 	w.strayRuns[number] = c.now()
-	c.emit(event.RunStopped, event.Subject{Job: name, Instance: w.Life}, "run=%d why=%q", number, why)
+	c.emit(event.StopOrdered, event.Subject{Job: name, Instance: w.Life}, "run=%d why=%q", number, why)
 	c.callStop(w, name, number, nil)
 }
 
--- a/pool/size.go
+++ b/pool/size.go
@@ -291,7 +291,7 @@
 			c.endLife(w, "its instance was moved")
 		}
 		c.counts.moves.Inc(1)
-		c.emit(event.MachineMoved, event.Subject{Instance: m.machine}, "from=%s to=%s", from, s.to)
+		c.emit(event.InstanceMoved, event.Subject{Instance: m.machine}, "from=%s to=%s", from, s.to)
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
 	case errors.Is(m.err, ErrTooMany):
--- a/provider/client.go
+++ b/provider/client.go
@@ -34,7 +34,7 @@
 )
 
 // Instance is one row of the instance list, which may lag behind the actual state.
-type Listed struct {
+type Instance struct {
 	ID         string `json:"id"`
 	Role       Role   `json:"role"`
 	DataCentre string `json:"data_centre"`
@@ -108,7 +108,7 @@
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	// RunTime is how long the task had run when it was measured, in nanoseconds.
-	Ran time.Duration `json:"ran"`
+	RunTime time.Duration `json:"ran"`
 }
 
 // TaskReport is the platform's report on a task.
@@ -118,7 +118,7 @@
 	Usage *Usage `json:"usage"`
 }
 
-// Hold is a request to renew the leases of tasks on one instance.
+// RenewLeases is a request to renew the leases of tasks on one instance.
 type Hold struct {
 	// Lease is the time for which each task may run without another renewal, in nanoseconds.
 	Lease time.Duration `json:"lease"`
@@ -135,8 +135,8 @@
 }
 
 // InstanceList is a response with the instance list.
-type List struct {
-	Instances []Listed
+type InstanceList struct {
+	Instances []Instance
 	// Tag is the HTTP entity tag of the response; empty if there was none.
 	Tag string
 	// Compressed means that the response body was compressed in transit.
@@ -146,9 +146,9 @@
 }
 
 // Instances returns the list of live and leaving instances. If the list still has the given tag, Unchanged is set instead.
-func (c *Client) Instances(ctx context.Context, tag string) (List, error) {
+func (c *Client) Instances(ctx context.Context, tag string) (InstanceList, error) {
 	var answer struct {
-		Instances []Listed `json:"instances"`
+		Instances []Instance `json:"instances"`
 	}
 	header := http.Header{}
 	if tag != "" {
@@ -156,13 +156,13 @@
 	}
 	got, err := c.do(ctx, http.MethodGet, "/v1/instances", header, nil, &answer)
 	if errors.Is(err, errNotModified) {
-		return List{Tag: tag, Unchanged: true}, nil
+		return InstanceList{Tag: tag, Unchanged: true}, nil
 	}
-	return List{Instances: answer.Instances, Tag: got.Get("ETag"), Compressed: got.Get(compressedHeader) != ""}, err
+	return InstanceList{Instances: answer.Instances, Tag: got.Get("ETag"), Compressed: got.Get(compressedHeader) != ""}, err
 }
 
 // RunCommand requests the command and returns its state. The platform executes a command ID at most once.
-func (c *Client) Run(ctx context.Context, instance, id string, cmd Command) (CommandState, error) {
+func (c *Client) RunCommand(ctx context.Context, instance, id string, cmd Command) (CommandState, error) {
 	return c.command(ctx, http.MethodPut, instance, id, cmd)
 }
 
@@ -186,7 +186,7 @@
 }
 
 // RenewLeases renews the leases and returns a report on each task. It responds as soon as one of the tasks is not running, or after h.Wait.
-func (c *Client) Hold(ctx context.Context, instance string, h Hold) (map[string]TaskReport, error) {
+func (c *Client) RenewLeases(ctx context.Context, instance string, h Hold) (map[string]TaskReport, error) {
 	var answer struct {
 		Tasks map[string]TaskReport `json:"tasks"`
 	}
