--- a/route/budget.go
+++ b/route/budget.go
@@ -4,15 +4,15 @@
 
 import "sync"
 
-// RetryBudget allows a number of retries in proportion to the first attempts.
+// RetryBudget limits retries to a fraction of the first attempts.
 type RetryBudget struct {
-	// Ratio is the retries that one first attempt earns; 0.1 when 0.
+	// Ratio is the number of retries that one first attempt adds to the budget; DefaultRetryRatio when 0.
 	Ratio float64
-	// Burst bounds what can be saved up; 10 when 0.
+	// Burst is the largest balance of the budget, in retries; DefaultRetryBurst when 0.
 	Burst float64
 
-	mu    sync.Mutex
-	saved float64
+	mu      sync.Mutex
+	balance float64
 }
 
 // Defaults of a RetryBudget.
@@ -21,7 +21,7 @@
 	DefaultRetryBurst = 10
 )
 
-// First counts a first attempt.
+// Deposit adds the share of one first attempt to the budget.
 func (b *RetryBudget) First() {
 	ratio, burst := b.Ratio, b.Burst
 	if ratio == 0 {
@@ -32,16 +32,16 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(burst, b.saved+ratio)
+	b.balance = min(burst, b.balance+ratio)
 }
 
-// Retry takes one retry from the budget and says whether there was one.
+// TryWithdraw takes one retry from the budget and reports whether the balance allowed it.
 func (b *RetryBudget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
--- a/route/errors.go
+++ b/route/errors.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind tells refusals of a Gate apart.
+// Kind is the reason for which a Gate refused a request.
 type Kind string
 
 // Kinds of a RefusedError.
@@ -19,24 +19,24 @@
 	KindMoved    Kind = "moved"
 )
 
-// RefusedError says that a request was not dispatched.
+// RefusedError is returned for a request that was not dispatched.
 type RefusedError struct {
 	Kind Kind
-	// RetryAfter is when it is worth coming back; 0 when waiting does not help.
+	// RetryAfter is the time after which a retry may succeed; 0 when waiting does not help.
 	RetryAfter time.Duration
 }
 
-// Error returns the kind and the remedy.
+// Error returns the reason and the remedy.
 func (e *RefusedError) Error() string {
 	switch e.Kind {
 	case KindFull:
-		return fmt.Sprintf("the queue is full; come back in %s", e.RetryAfter)
+		return fmt.Sprintf("the queue is full; retry in %s", e.RetryAfter)
 	case KindNoTarget:
-		return "no target of the service is available here; come back later"
+		return "no target of the service is available here; retry later"
 	case KindDeadline:
-		return fmt.Sprintf("no slot becomes free before the deadline; come back in %s or allow more time", e.RetryAfter)
+		return fmt.Sprintf("no slot becomes free before the deadline; retry in %s or set a later deadline", e.RetryAfter)
 	case KindMoved:
 		return "another entry runs the service's gate now; send the request there"
 	}
-	return "the caller has gone"
+	return "the request was cancelled by the caller"
 }
--- a/route/gate.go
+++ b/route/gate.go
@@ -9,62 +9,62 @@
 	"time"
 )
 
-// Target is one instance that a Gate may give requests to.
+// Target is an instance to which a Gate may dispatch requests.
 type Target struct {
 	Instance   string
 	Address    string
 	Generation uint64
-	// Held is the number of its slots that other entries still use.
+	// Held is the number of the target's slots that other entries still use.
 	Held int
 }
 
-// Request is what a Gate needs to know of a request.
+// Request describes a request to a Gate.
 type Request struct {
 	Team string
-	// Share is the team's weight; 1 when 0.
+	// Share is the team's weight in the queue; 1 when 0.
 	Share  int
 	Urgent bool
-	// Deadline is when the request must have its slot; none when zero.
+	// Deadline is the time by which the request must have a slot; no limit when zero.
 	Deadline time.Time
-	// Avoid are instances that the request has been to already.
+	// Avoid lists the instances to which the request was dispatched before.
 	Avoid []string
 }
 
-// Limits bound a Gate.
+// Limits are the limits of a Gate.
 type Limits struct {
-	// Slots is the number of requests that one target runs at once.
+	// Slots is the number of requests that one target may run concurrently.
 	Slots int
 	// Queue is the number of requests that may wait.
 	Queue int
-	// Elsewhere says that another entry runs the service's Gate now; who waits here is sent there.
+	// Moved reports that another entry now runs the service's Gate; waiting requests are refused with KindMoved.
 	Elsewhere bool
 }
 
-// Gate gives the slots of one service's targets to requests.
+// Gate assigns the slots of one service's targets to requests.
 type Gate struct {
 	// Clock returns the current time; time.Now when nil.
 	Clock func() time.Time
-	// After runs f once the time has passed; time.AfterFunc when nil.
+	// After calls f after the duration; time.AfterFunc when nil.
 	After func(d time.Duration, f func())
-	// Changed is called when a target falls sick or recovers; may be nil.
-	Changed func(instance string, sick bool)
-
-	mu      sync.Mutex
-	limits  Limits
-	targets []*slots
-	leaving []*slots // no longer routed to, with requests in flight
-	urgent  queue
-	normal  queue
-	turn    int
-	waking  bool          // a timer will look at the queue again
-	service time.Duration // running mean of a request's time at its target
+	// HealthChanged is called when a target becomes unhealthy or recovers; may be nil.
+	Changed func(instance string, unhealthy bool)
+
+	mu              sync.Mutex
+	limits          Limits
+	targets         []*targetState
+	removed         []*targetState // removed targets that still have requests in flight
+	urgent          queue
+	ordinary        queue
+	rotation        int
+	timerSet        bool          // a timer will call wake
+	meanServiceTime time.Duration // moving average of successful requests
 }
 
-// slots is a target and what runs on it.
-type slots struct {
+// targetState is a target with its health and the number of its requests in flight.
+type targetState struct {
 	Target
 	health
-	busy int
+	inFlight int
 }
 
 type waiter struct {
@@ -80,16 +80,16 @@
 	return time.Now()
 }
 
-// Set replaces the limits and the targets; requests in flight on targets that go are still counted.
+// Set replaces the limits and the targets. Requests in flight on removed targets are still counted.
 func (g *Gate) Set(limits Limits, targets []Target) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits = limits
-	old := append(g.targets, g.leaving...)
-	g.targets, g.leaving = nil, nil
+	old := append(g.targets, g.removed...)
+	g.targets, g.removed = nil, nil
 	for _, t := range targets {
-		s := &slots{Target: t}
-		if i := slices.IndexFunc(old, func(o *slots) bool { return o.Instance == t.Instance }); i >= 0 {
+		s := &targetState{Target: t}
+		if i := slices.IndexFunc(old, func(o *targetState) bool { return o.Instance == t.Instance }); i >= 0 {
 			s = old[i]
 			old = slices.Delete(old, i, i+1)
 			if s.Generation != t.Generation {
@@ -100,55 +100,55 @@
 		g.targets = append(g.targets, s)
 	}
 	for _, o := range old {
-		if o.busy > 0 {
-			g.leaving = append(g.leaving, o)
+		if o.inFlight > 0 {
+			g.removed = append(g.removed, o)
 		}
 	}
-	g.hand()
+	g.grantSlots()
 	if len(g.targets) == 0 {
-		g.refuseAll(g.noTarget())
+		g.refuseAll(g.noTargetError())
 	}
 }
 
-// Held returns the requests in flight on instances that are no longer routed to from here, by instance.
+// Held returns the number of requests in flight on each removed target, by instance.
 func (g *Gate) Held() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.leaving) == 0 {
+	if len(g.removed) == 0 {
 		return nil
 	}
-	held := make(map[string]int, len(g.leaving))
-	for _, s := range g.leaving {
-		held[s.Instance] = s.busy
+	held := make(map[string]int, len(g.removed))
+	for _, s := range g.removed {
+		held[s.Instance] = s.inFlight
 	}
 	return held
 }
 
-// Load returns the requests in flight, those waiting, and the slots of all targets.
+// Load returns the number of requests in flight, of waiting requests, and of slots of all targets.
 func (g *Gate) Load() (inFlight, waiting, slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.targets {
-		inFlight += s.busy
+		inFlight += s.inFlight
 	}
-	return inFlight, g.urgent.n + g.normal.n, len(g.targets) * g.limits.Slots
+	return inFlight, g.urgent.length + g.ordinary.length, len(g.targets) * g.limits.Slots
 }
 
-// Spare returns the number of free slots less that of waiting requests.
+// Spare returns the number of free slots minus the number of waiting requests.
 func (g *Gate) Spare() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	spare := -g.urgent.n - g.normal.n
+	spare := -g.urgent.length - g.ordinary.length
 	for _, s := range g.targets {
-		spare += max(0, s.allowed(g.limits.Slots-s.Held, now)-s.busy)
+		spare += max(0, s.allowed(g.limits.Slots-s.Held, now)-s.inFlight)
 	}
 	return spare
 }
 
-// Acquire waits for a slot; it fails with a RefusedError, and then nothing was dispatched.
+// Acquire waits for a slot. Its error is a *RefusedError, after which the request must not be dispatched.
 func (g *Gate) Acquire(ctx context.Context, r Request) (*Lease, error) {
-	w, lease, refused := g.enter(r)
+	w, lease, refused := g.admit(r)
 	switch {
 	case refused != nil:
 		return nil, refused
@@ -167,95 +167,99 @@
 	case e := <-w.refused:
 		return nil, e
 	case <-timeout:
-		return g.leave(w, KindDeadline)
+		return g.withdraw(w, KindDeadline)
 	case <-ctx.Done():
-		return g.leave(w, KindGone)
+		return g.withdraw(w, KindGone)
 	}
 }
 
-// Free says whether the request would get a slot without waiting.
+// HasFreeSlot reports whether the request would get a slot without waiting.
 func (g *Gate) Free(r Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.idle(r) && g.pick(r, g.now()) != nil
+	return g.bypassesQueue(r) && g.pickTarget(r, g.now()) != nil
 }
 
-// leave takes the request out of the queue; a slot that it got at the same moment goes to the next one.
-func (g *Gate) leave(w *waiter, kind Kind) (*Lease, error) {
+// withdraw removes the request from the queue. A slot that was granted at the same moment passes to the next request.
+func (g *Gate) withdraw(w *waiter, kind Kind) (*Lease, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
 	case l := <-w.granted:
-		l.slots.busy--
-		g.hand()
+		l.state.inFlight--
+		g.grantSlots()
 	default:
 		g.queueOf(w.request).remove(w)
 	}
-	return nil, &RefusedError{Kind: kind, RetryAfter: g.wait()}
+	return nil, &RefusedError{Kind: kind, RetryAfter: g.estimateDrain()}
 }
 
 func (g *Gate) queueOf(r Request) *queue {
 	if r.Urgent {
 		return &g.urgent
 	}
-	return &g.normal
+	return &g.ordinary
 }
 
-// enter gives the request a slot, a place in the queue, or a refusal.
-func (g *Gate) enter(r Request) (*waiter, *Lease, *RefusedError) {
+// admit grants the request a slot, queues it, or refuses it.
+func (g *Gate) admit(r Request) (*waiter, *Lease, *RefusedError) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.targets) == 0 {
-		return nil, nil, g.noTarget()
+		return nil, nil, g.noTargetError()
 	}
 	now := g.now()
-	if g.idle(r) {
-		if s := g.pick(r, now); s != nil {
-			return nil, g.lease(s, now), nil
+	if g.bypassesQueue(r) {
+		if s := g.pickTarget(r, now); s != nil {
+			return nil, g.newLease(s, now), nil
 		}
 	}
-	if wait := g.waitFor(r); !r.Deadline.IsZero() && now.Add(wait).After(r.Deadline) {
+	if wait := g.estimateWait(r); !r.Deadline.IsZero() && now.Add(wait).After(r.Deadline) {
 		return nil, nil, &RefusedError{Kind: KindDeadline, RetryAfter: wait}
 	}
-	if g.urgent.n+g.normal.n >= g.limits.Queue && !g.makeRoom(r) {
-		return nil, nil, &RefusedError{Kind: KindFull, RetryAfter: g.wait()}
+	if g.urgent.length+g.ordinary.length >= g.limits.Queue && !g.evictFor(r) {
+		return nil, nil, &RefusedError{Kind: KindFull, RetryAfter: g.estimateDrain()}
 	}
 	w := &waiter{request: r, granted: make(chan *Lease, 1), refused: make(chan *RefusedError, 1)}
 	g.queueOf(r).push(w)
-	g.hand()
-	g.watch(now)
+	g.grantSlots()
+	g.scheduleWake(now)
 	return w, nil, nil
 }
 
-// idle says that nobody waits who would go before the request.
-func (g *Gate) idle(r Request) bool {
-	return g.urgent.n == 0 && (r.Urgent || g.normal.n == 0)
+// bypassesQueue reports whether no waiting request would be served before the request.
+func (g *Gate) bypassesQueue(r Request) bool {
+	return g.urgent.length == 0 && (r.Urgent || g.ordinary.length == 0)
 }
 
-// makeRoom refuses the latest request of the team that holds the most places, if that is not the arriving one.
-func (g *Gate) makeRoom(r Request) bool {
-	mine := 1.0
+// evictFor makes room for the request by refusing the latest request of the team with the largest weighted length, and
+// reports whether it did.
+//
+// An urgent request evicts an ordinary one whenever one waits. Among requests of the same priority, one is evicted only when
+// the largest weighted length exceeds that of the arriving request's team plus one.
+func (g *Gate) evictFor(r Request) bool {
+	own := 1.0
 	if t := g.queueOf(r).teams[r.Team]; t != nil {
-		mine += t.places()
+		own += t.weightedLength()
 	}
-	q := &g.normal
-	t, places := q.longest()
-	if t == nil || (!r.Urgent && places <= mine) {
+	q := &g.ordinary
+	t, length := q.largestTeam()
+	if t == nil || (!r.Urgent && length <= own) {
 		if !r.Urgent {
 			return false
 		}
 		q = &g.urgent
-		if t, places = q.longest(); t == nil || places <= mine {
+		if t, length = q.largestTeam(); t == nil || length <= own {
 			return false
 		}
 	}
 	last := t.waiting[len(t.waiting)-1]
 	q.remove(last)
-	last.refused <- &RefusedError{Kind: KindFull, RetryAfter: g.wait()}
+	last.refused <- &RefusedError{Kind: KindFull, RetryAfter: g.estimateDrain()}
 	return true
 }
 
-func (g *Gate) noTarget() *RefusedError {
+func (g *Gate) noTargetError() *RefusedError {
 	if g.limits.Elsewhere {
 		return &RefusedError{Kind: KindMoved}
 	}
@@ -263,7 +267,7 @@
 }
 
 func (g *Gate) refuseAll(e *RefusedError) {
-	for _, q := range [...]*queue{&g.urgent, &g.normal} {
+	for _, q := range [...]*queue{&g.urgent, &g.ordinary} {
 		for _, t := range q.teams {
 			for _, w := range t.waiting {
 				w.refused <- e
@@ -273,37 +277,37 @@
 	}
 }
 
-// pick returns the target with the smallest part of its slots in use, or nil.
-func (g *Gate) pick(r Request, now time.Time) *slots {
-	var best *slots
+// pickTarget returns the target with the smallest fraction of its allowed slots in use, or nil when none is free.
+func (g *Gate) pickTarget(r Request, now time.Time) *targetState {
+	var best *targetState
 	var bestAllowed int
 	for i := range g.targets {
-		s := g.targets[(g.turn+i)%len(g.targets)]
+		s := g.targets[(g.rotation+i)%len(g.targets)]
 		allowed := s.allowed(g.limits.Slots-s.Held, now)
-		if s.busy >= allowed || slices.Contains(r.Avoid, s.Instance) {
+		if s.inFlight >= allowed || slices.Contains(r.Avoid, s.Instance) {
 			continue
 		}
-		if best == nil || s.busy*bestAllowed < best.busy*allowed {
+		if best == nil || s.inFlight*bestAllowed < best.inFlight*allowed {
 			best, bestAllowed = s, allowed
 		}
 	}
 	return best
 }
 
-func (g *Gate) lease(s *slots, now time.Time) *Lease {
-	s.busy++
-	g.turn++
-	return &Lease{Target: s.Target, gate: g, slots: s, since: now}
+func (g *Gate) newLease(s *targetState, now time.Time) *Lease {
+	s.inFlight++
+	g.rotation++
+	return &Lease{Target: s.Target, gate: g, state: s, since: now}
 }
 
-// hand gives free slots to those who wait.
-func (g *Gate) hand() {
+// grantSlots assigns free slots to waiting requests.
+func (g *Gate) grantSlots() {
 	now := g.now()
-	for _, q := range [...]*queue{&g.urgent, &g.normal} {
-		for q.n > 0 {
-			var free *slots
-			w := q.first(func(w *waiter) bool {
-				s := g.pick(w.request, now)
+	for _, q := range [...]*queue{&g.urgent, &g.ordinary} {
+		for q.length > 0 {
+			var free *targetState
+			w := q.next(func(w *waiter) bool {
+				s := g.pickTarget(w.request, now)
 				if s != nil {
 					free = s
 				}
@@ -312,56 +316,57 @@
 			if w == nil {
 				break
 			}
-			q.granted(w)
-			w.granted <- g.lease(free, now)
+			q.grant(w)
+			w.granted <- g.newLease(free, now)
 		}
 	}
 }
 
-// watch looks again when the next paused target opens, because no finished request may wake the queue then.
-func (g *Gate) watch(now time.Time) {
+// scheduleWake sets a timer for the earliest end of a target's pause, when requests wait. Slots are otherwise assigned only
+// when a request ends or arrives, and none may.
+func (g *Gate) scheduleWake(now time.Time) {
 	var next time.Time
 	for _, s := range g.targets {
-		if s.openAt.After(now) && (next.IsZero() || s.openAt.Before(next)) {
-			next = s.openAt
+		if s.pausedUntil.After(now) && (next.IsZero() || s.pausedUntil.Before(next)) {
+			next = s.pausedUntil
 		}
 	}
-	if next.IsZero() || g.waking || g.urgent.n+g.normal.n == 0 {
+	if next.IsZero() || g.timerSet || g.urgent.length+g.ordinary.length == 0 {
 		return
 	}
-	g.waking = true
+	g.timerSet = true
 	after := g.After
 	if after == nil {
 		after = func(d time.Duration, f func()) { time.AfterFunc(d, f) }
 	}
-	after(next.Sub(now)+time.Millisecond, g.look)
+	after(next.Sub(now)+time.Millisecond, g.wake)
 }
 
-// look hands out slots that have become free by the passing of time.
-func (g *Gate) look() {
+// wake assigns the slots of targets whose pause has ended.
+func (g *Gate) wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.waking = false
-	g.hand()
-	g.watch(g.now())
+	g.timerSet = false
+	g.grantSlots()
+	g.scheduleWake(g.now())
 }
 
-// waitFor estimates how long the request would wait behind those that go before it.
-func (g *Gate) waitFor(r Request) time.Duration {
-	ahead := g.urgent.n
+// estimateWait estimates how long the request would wait for those that are served before it.
+func (g *Gate) estimateWait(r Request) time.Duration {
+	ahead := g.urgent.length
 	if !r.Urgent {
-		ahead += g.normal.n
-		// Fair queueing lets the request pass teams that hold more than their part.
-		if teams := len(g.normal.teams) + 1; teams > 1 && g.normal.teams[r.Team] == nil {
-			ahead = g.urgent.n + teams
+		ahead += g.ordinary.length
+		// Under fair queueing, the first request of a team waits for about one request of each other team.
+		if teams := len(g.ordinary.teams) + 1; teams > 1 && g.ordinary.teams[r.Team] == nil {
+			ahead = g.urgent.length + teams
 		}
 	}
 	return g.drainTime(ahead)
 }
 
-// wait estimates how long the whole queue takes to drain.
-func (g *Gate) wait() time.Duration {
-	return max(10*time.Millisecond, g.drainTime(g.urgent.n+g.normal.n))
+// estimateDrain estimates how long the whole queue takes to drain.
+func (g *Gate) estimateDrain() time.Duration {
+	return max(10*time.Millisecond, g.drainTime(g.urgent.length+g.ordinary.length))
 }
 
 func (g *Gate) drainTime(requests int) time.Duration {
@@ -373,32 +378,33 @@
 	if total == 0 || requests == 0 {
 		return 0
 	}
-	return time.Duration(requests) * g.service / time.Duration(total)
+	return time.Duration(requests) * g.meanServiceTime / time.Duration(total)
 }
 
-func (g *Gate) learn(s *slots, r Result, now time.Time) (changed bool) {
+// updateHealth records the result in the target's health and reports whether the target became unhealthy or recovered.
+func (g *Gate) updateHealth(s *targetState, r Result, now time.Time) (changed bool) {
 	switch r {
 	case ResultOK:
-		return s.ok(g.limits.Slots)
+		return s.recordSuccess(g.limits.Slots)
 	case ResultRefused:
-		s.refused(now)
+		s.recordRefusal(now)
 	case ResultFailed:
-		well := slices.ContainsFunc(g.targets, func(o *slots) bool { return o != s && !o.sick })
-		changed = s.failed(now, well)
-		if !well {
+		othersHealthy := slices.ContainsFunc(g.targets, func(o *targetState) bool { return o != s && !o.unhealthy })
+		changed = s.recordFailure(now, othersHealthy)
+		if !othersHealthy {
 			for _, o := range g.targets {
-				o.forgive()
+				o.clearPause()
 			}
 		}
 	}
 	return changed
 }
 
-// measure keeps a running mean of the service time with a weight of one eighth for the latest.
-func (g *Gate) measure(d time.Duration) {
-	if g.service == 0 {
-		g.service = d
+// recordServiceTime updates the moving average of the service time; the latest value has a weight of 1/8.
+func (g *Gate) recordServiceTime(d time.Duration) {
+	if g.meanServiceTime == 0 {
+		g.meanServiceTime = d
 		return
 	}
-	g.service += (d - g.service) / 8
+	g.meanServiceTime += (d - g.meanServiceTime) / 8
 }
--- a/route/gate_test.go
+++ b/route/gate_test.go
@@ -20,7 +20,7 @@
 	"pgregory.net/rapid"
 )
 
-// targets returns n targets.
+// targets returns n targets named r0, r1 and so on.
 func targets(n int) []Target {
 	var ts []Target
 	for i := range n {
@@ -29,7 +29,7 @@
 	return ts
 }
 
-// onGate runs the test on fake time with a gate of n targets.
+// onGate runs the test on fake time with a Gate that has n targets.
 func onGate(t *testing.T, n int, limits Limits, f func(c *quicktest.C, g *Gate)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := new(Gate)
@@ -38,7 +38,7 @@
 	})
 }
 
-// hold takes a slot for the time and says with what result the request ends.
+// hold acquires a slot, keeps it for the duration, and releases it with the result that res returns.
 func hold(g *Gate, r Request, d time.Duration, res func(Target) Result) error {
 	l, err := g.Acquire(context.Background(), r)
 	if err != nil {
@@ -59,6 +59,7 @@
 	return ""
 }
 
+// TestUrgentOvertakesOrdinary guards against urgent requests that wait behind ordinary ones.
 func TestUrgentOvertakesOrdinary(t *testing.T) {
 	onGate(t, 1, Limits{Slots: 1, Queue: 10}, func(c *quicktest.C, g *Gate) {
 		var mu sync.Mutex
@@ -84,6 +85,8 @@
 	})
 }
 
+// TestABurstOfOneTeamTakesNothingFromAnother guards against a burst that fills the queue and delays or displaces the requests of
+// another team.
 func TestABurstOfOneTeamTakesNothingFromAnother(t *testing.T) {
 	onGate(t, 1, Limits{Slots: 2, Queue: 20}, func(c *quicktest.C, g *Gate) {
 		var work sync.WaitGroup
@@ -104,12 +107,14 @@
 		}
 		took := time.Since(begin)
 		work.Wait()
-		// One at a time beside the burst: each waits for at most one slot of two.
+		// The calm team sends one request at a time, which waits for at most one of the two slots to become free.
 		c.Assert(took <= 5*200*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%s", took))
 		c.Assert(burst[KindFull] >= 178, quicktest.IsTrue, quicktest.Commentf("%v", burst))
 	})
 }
 
+// TestSharesDecideAmongWaitingTeams guards against slots that are not assigned by the teams' shares, and against starvation of the
+// team with the smaller share.
 func TestSharesDecideAmongWaitingTeams(t *testing.T) {
 	onGate(t, 1, Limits{Slots: 1, Queue: 1000}, func(c *quicktest.C, g *Gate) {
 		done := make(map[string]int)
@@ -141,9 +146,11 @@
 	})
 }
 
+// TestWhoCannotBeServedInTimeIsRefusedOnArrival guards against queueing a request that can only miss its deadline because the queue
+// before it takes longer.
 func TestWhoCannotBeServedInTimeIsRefusedOnArrival(t *testing.T) {
 	onGate(t, 1, Limits{Slots: 1, Queue: 100}, func(c *quicktest.C, g *Gate) {
-		c.Assert(hold(g, Request{Team: "t"}, time.Second, ok), quicktest.IsNil) // it learns the service time
+		c.Assert(hold(g, Request{Team: "t"}, time.Second, ok), quicktest.IsNil) // the gate measures the service time
 		var work sync.WaitGroup
 		for range 5 {
 			work.Go(func() { _ = hold(g, Request{Team: "t"}, time.Second, ok) })
@@ -157,6 +164,7 @@
 	})
 }
 
+// TestACancelledBurstFreesItsPlacesAtOnce guards against cancelled requests that still count as waiting and block the queue.
 func TestACancelledBurstFreesItsPlacesAtOnce(t *testing.T) {
 	onGate(t, 1, Limits{Slots: 1, Queue: 50}, func(c *quicktest.C, g *Gate) {
 		first, err := g.Acquire(context.Background(), Request{Team: "t"})
@@ -183,7 +191,7 @@
 	})
 }
 
-// load sends requests at a steady rate and counts where they went and how many failed.
+// load sends requests at a constant rate and returns the number sent to each target and the number that failed.
 func load(g *Gate, d, gap, work time.Duration, res func(Target) Result) (sent map[string]int, failed int) {
 	sent = make(map[string]int)
 	var mu sync.Mutex
@@ -212,6 +220,8 @@
 	return sent, failed
 }
 
+// TestATargetThatFailsEverythingFastAttractsNothing guards against selecting a target because it has free slots, when it has them only
+// because all its requests fail immediately.
 func TestATargetThatFailsEverythingFastAttractsNothing(t *testing.T) {
 	onGate(t, 10, Limits{Slots: 8, Queue: 256}, func(c *quicktest.C, g *Gate) {
 		bad := func(t Target) Result {
@@ -230,6 +240,8 @@
 	})
 }
 
+// TestWhenALargePartFailsTogetherTheRestServesAndAllRecover guards against pausing healthy targets when four of ten fail, and against
+// targets that stay paused or limited after they have recovered.
 func TestWhenALargePartFailsTogetherTheRestServesAndAllRecover(t *testing.T) {
 	onGate(t, 10, Limits{Slots: 8, Queue: 256}, func(c *quicktest.C, g *Gate) {
 		var mu sync.Mutex
@@ -258,6 +270,8 @@
 	})
 }
 
+// TestWhenEverythingFailsNoTargetIsPaused guards against refusing all requests because every target is paused, when the failures have a
+// common cause.
 func TestWhenEverythingFailsNoTargetIsPaused(t *testing.T) {
 	onGate(t, 3, Limits{Slots: 8, Queue: 256}, func(c *quicktest.C, g *Gate) {
 		sent, _ := load(g, 2*time.Second, 10*time.Millisecond, 0, func(Target) Result { return ResultFailed })
@@ -265,6 +279,8 @@
 	})
 }
 
+// TestAMovedGateSendsItsQueueElsewhere guards against requests that keep waiting at a gate that another entry now runs, and against
+// losing count of the requests in flight there.
 func TestAMovedGateSendsItsQueueElsewhere(t *testing.T) {
 	onGate(t, 1, Limits{Slots: 1, Queue: 10}, func(c *quicktest.C, g *Gate) {
 		l, err := g.Acquire(context.Background(), Request{Team: "t"})
@@ -283,24 +299,26 @@
 	})
 }
 
-// TestUrgentFindsNoRoomAmongUrgent fills the queue with urgent requests while a team that waited before is still charged.
+// TestUrgentFindsNoRoomAmongUrgent guards against evicting from a queue without waiting requests: a team whose last request
+// was granted stays in the ordinary queue until its start tag has passed, while urgent requests fill the gate.
 func TestUrgentFindsNoRoomAmongUrgent(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(0, 0)
 	g := &Gate{Clock: func() time.Time { return now }, After: func(time.Duration, func()) {}}
 	g.Set(Limits{Slots: 1, Queue: 1}, targets(1))
-	_, first, _ := g.enter(Request{Team: "b"})
-	waits, _, _ := g.enter(Request{Team: "b"})
+	_, first, _ := g.admit(Request{Team: "b"})
+	waits, _, _ := g.admit(Request{Team: "b"})
 	first.Done(ResultOK)
 	c.Assert(waits.granted, quicktest.HasLen, 1)
-	urgent, _, _ := g.enter(Request{Team: "a", Urgent: true})
+	urgent, _, _ := g.admit(Request{Team: "a", Urgent: true})
 	c.Assert(urgent, quicktest.IsNotNil)
-	_, _, refused := g.enter(Request{Team: "a", Urgent: true})
+	_, _, refused := g.admit(Request{Team: "a", Urgent: true})
 	c.Assert(refused, quicktest.IsNotNil)
 	c.Assert(refused.Kind, quicktest.Equals, KindFull)
 }
 
-// TestSlotsAreNeverExceeded changes targets, shares and health at random and counts what runs on each target.
+// TestSlotsAreNeverExceeded guards against dispatching more requests to a target than it has slots, while targets, teams and
+// results change at random.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, exceedSlots)
 }
@@ -336,7 +354,7 @@
 	t.Repeat(map[string]func(*rapid.T){
 		"arrive": func(t *rapid.T) {
 			r := Request{Team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"), Urgent: rapid.Bool().Draw(t, "urgent")}
-			w, l, _ := g.enter(r)
+			w, l, _ := g.admit(r)
 			if l != nil {
 				take(l)
 			}
@@ -371,6 +389,8 @@
 	})
 }
 
+// TestAnOwnerThatLeavesChangesOnlyItsOwnKeys guards against reassigning keys of remaining owners when a member leaves, and against an
+// uneven distribution of keys.
 func TestAnOwnerThatLeavesChangesOnlyItsOwnKeys(t *testing.T) {
 	c := quicktest.New(t)
 	members := []string{"a", "b", "c", "d"}
@@ -389,6 +409,7 @@
 	c.Assert(Owner("x", nil), quicktest.Equals, "")
 }
 
+// TestRetriesStayWithinTheBudget guards against retries beyond about 10% of the first attempts, and against a budget that allows too few.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	c := quicktest.New(t)
 	var b RetryBudget
--- a/route/health.go
+++ b/route/health.go
@@ -4,89 +4,90 @@
 
 import "time"
 
-// Result is what became of a dispatched request, as far as the target is concerned.
+// Result is the outcome of a dispatched request as it concerns the health of the target.
 type Result int
 
 // Results of a lease.
 const (
 	ResultOK      Result = iota // the target answered
-	ResultFailed                // the target failed, reset, or did not answer in time
-	ResultRefused               // the target refused in the agreed way, it did not run
-	ResultNeutral               // nothing can be said of the target, as when the caller went away
+	ResultFailed                // the target failed, reset the connection, or did not answer in time
+	ResultRefused               // the target refused by the protocol; the request did not run
+	ResultNeutral               // says nothing about the target, for example because the caller cancelled
 )
 
-// Times and counts of a target's health.
+// Parameters of the health tracking.
 const (
-	failuresToSick = 3
-	firstPause     = 500 * time.Millisecond
-	longestPause   = 8 * time.Second
-	refusedPause   = 20 * time.Millisecond
+	unhealthyAfterFailures = 3
+	minPause               = 500 * time.Millisecond
+	maxPause               = 8 * time.Second
+	pauseAfterRefusal      = 20 * time.Millisecond
 )
 
-// health is what a Gate has learned of one target.
+// health is the state that a Gate tracks for one target.
 type health struct {
-	failures int // in a row
-	sick     bool
-	pause    time.Duration // of the next trial
-	openAt   time.Time     // no request before this
-	limit    int           // slots allowed now; 0 means all
-	streak   int           // successes since the limit changed
+	failures    int // consecutive
+	unhealthy   bool
+	pause       time.Duration // the latest pause after a failure; doubles with each further one
+	pausedUntil time.Time     // no request is sent before this time
+	slotLimit   int           // slots that may be used; 0 means all
+	successes   int           // since the limit changed
 }
 
-// allowed returns the slots that the target may use now.
+// allowed returns the number of the target's slots that may be used now.
 func (h *health) allowed(slots int, now time.Time) int {
-	if now.Before(h.openAt) {
+	if now.Before(h.pausedUntil) {
 		return 0
 	}
-	if h.limit == 0 || h.limit > slots {
+	if h.slotLimit == 0 || h.slotLimit > slots {
 		return slots
 	}
-	return h.limit
+	return h.slotLimit
 }
 
-func (h *health) ok(slots int) (recovered bool) {
-	recovered = h.sick
-	h.sick, h.failures, h.pause, h.openAt = false, 0, 0, time.Time{}
-	if h.limit == 0 {
+// recordSuccess ends the pause and doubles the slot limit after as many successes as the limit allows slots.
+func (h *health) recordSuccess(slots int) (recovered bool) {
+	recovered = h.unhealthy
+	h.unhealthy, h.failures, h.pause, h.pausedUntil = false, 0, 0, time.Time{}
+	if h.slotLimit == 0 {
 		return recovered
 	}
-	h.streak++
-	if h.streak >= h.limit {
-		h.streak = 0
-		h.limit *= 2
+	h.successes++
+	if h.successes >= h.slotLimit {
+		h.successes = 0
+		h.slotLimit *= 2
 	}
-	if h.limit >= slots {
-		h.limit = 0
+	if h.slotLimit >= slots {
+		h.slotLimit = 0
 	}
 	return recovered
 }
 
-// failed counts a failure; when others succeed, a target that goes on failing is paused.
-func (h *health) failed(now time.Time, othersWell bool) (fell bool) {
+// recordFailure counts a failure. A target that keeps failing is paused, unless no other target is healthy.
+func (h *health) recordFailure(now time.Time, othersHealthy bool) (becameUnhealthy bool) {
 	h.failures++
-	h.streak = 0
-	if h.failures < failuresToSick && !h.sick {
+	h.successes = 0
+	if h.failures < unhealthyAfterFailures && !h.unhealthy {
 		return false
 	}
-	fell = !h.sick
-	h.sick = true
-	if !othersWell {
-		return fell
+	becameUnhealthy = !h.unhealthy
+	h.unhealthy = true
+	if !othersHealthy {
+		return becameUnhealthy
 	}
-	h.limit = 1
-	h.pause = min(max(2*h.pause, firstPause), longestPause)
-	h.openAt = now.Add(h.pause)
-	return fell
+	h.slotLimit = 1
+	h.pause = min(max(2*h.pause, minPause), maxPause)
+	h.pausedUntil = now.Add(h.pause)
+	return becameUnhealthy
 }
 
-// refused pauses the target shortly: it is at its limit by its own count.
-func (h *health) refused(now time.Time) {
-	if at := now.Add(refusedPause); at.After(h.openAt) {
-		h.openAt = at
+// recordRefusal pauses the target briefly, because it has reached its limit by its own count.
+func (h *health) recordRefusal(now time.Time) {
+	if at := now.Add(pauseAfterRefusal); at.After(h.pausedUntil) {
+		h.pausedUntil = at
 	}
 }
 
-// forgive lifts the pause, because no target is well.
-func (h *health) forgive() {
-	h.openAt, h.limit, h.streak = time.Time{}, 0, 0
+// clearPause ends the pause and lifts the slot limit; it is used when no target is healthy.
+func (h *health) clearPause() {
+	h.pausedUntil, h.slotLimit, h.successes = time.Time{}, 0, 0
 }
--- a/route/lease.go
+++ b/route/lease.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// Lease is a slot of a target; Done must be called once.
+// Lease is one slot of a target, held by a request. Done must be called exactly once.
 type Lease struct {
 	Target Target
 	gate   *Gate
-	slots  *slots
+	state  *targetState
 	since  time.Time
 }
 
-// Done gives the slot back and says what became of the request.
+// Done releases the slot and records the outcome of the request.
 func (l *Lease) Done(r Result) {
 	g := l.gate
 	now := g.now()
 	g.mu.Lock()
-	s := l.slots
-	s.busy--
-	g.leaving = slices.DeleteFunc(g.leaving, func(o *slots) bool { return o.busy == 0 })
-	changed := g.learn(s, r, now)
+	s := l.state
+	s.inFlight--
+	g.removed = slices.DeleteFunc(g.removed, func(o *targetState) bool { return o.inFlight == 0 })
+	changed := g.updateHealth(s, r, now)
 	if r == ResultOK {
-		g.measure(now.Sub(l.since))
+		g.recordServiceTime(now.Sub(l.since))
 	}
-	g.hand()
-	g.watch(now)
-	sick := s.sick
+	g.grantSlots()
+	g.scheduleWake(now)
+	unhealthy := s.unhealthy
 	g.mu.Unlock()
 	if changed && g.Changed != nil {
-		g.Changed(s.Instance, sick)
+		g.Changed(s.Instance, unhealthy)
 	}
 }
--- a/route/owner.go
+++ b/route/owner.go
@@ -4,9 +4,9 @@
 
 import "hash/fnv"
 
-// Owner returns the member with the highest rendezvous weight for the key, or an empty string when there is none.
+// Owner returns the member with the highest rendezvous weight for the key, or an empty string when there are no members.
 //
-// A member that leaves changes the owner of only its own keys.
+// When a member leaves, only the keys that it owned change their owner.
 func Owner(key string, members []string) string {
 	best, weight := "", uint64(0)
 	for _, m := range members {
@@ -20,14 +20,14 @@
 
 func rendezvous(key, member string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(key)) // a hash never fails
+	_, _ = h.Write([]byte(key)) // hash.Hash.Write never returns an error
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(member))
-	return mix(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
-// mix spreads the bits of a 64-bit hash whose low bits differ little.
-func mix(x uint64) uint64 {
+// mixBits is the 64-bit finalizer of MurmurHash3. It spreads the bits of hashes whose low bits differ little.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/route/queue.go
+++ b/route/queue.go
@@ -2,19 +2,19 @@
 
 package route
 
-// queue holds waiting requests of one urgency, by team.
+// queue holds the waiting requests of one priority, by team; it implements start-time fair queueing.
 type queue struct {
 	teams map[string]*teamQueue
-	// clock is the start tag of the latest request that left, in shares.
-	clock float64
-	n     int
+	// virtualTime is the largest start tag of the requests granted so far.
+	virtualTime float64
+	length      int
 }
 
-// teamQueue is one team's waiting requests in the order of their arrival.
+// teamQueue holds one team's waiting requests in the order of their arrival.
 type teamQueue struct {
 	waiting []*waiter
-	// next is the start tag of the team's first waiting request.
-	next float64
+	// startTag is the virtual start time of the team's first waiting request.
+	startTag float64
 }
 
 func (q *queue) push(w *waiter) {
@@ -27,21 +27,21 @@
 		q.teams[w.request.Team] = t
 	}
 	if len(t.waiting) == 0 {
-		t.next = max(t.next, q.clock)
+		t.startTag = max(t.startTag, q.virtualTime)
 	}
 	t.waiting = append(t.waiting, w)
-	q.n++
+	q.length++
 }
 
-// first returns the waiting request that leaves next among those that fit, or nil.
+// next returns the request that is to be granted next among those that fit, or nil.
 //
-// The team with the least start tag goes first (start-time fair queueing).
-func (q *queue) first(fits func(*waiter) bool) *waiter {
+// The team with the smallest start tag is served first; of teams with equal tags, the first by name.
+func (q *queue) next(fits func(*waiter) bool) *waiter {
 	var best *teamQueue
 	var found *waiter
 	var bestName string
 	for name, t := range q.teams {
-		if best != nil && (t.next > best.next || (t.next == best.next && name > bestName)) {
+		if best != nil && (t.startTag > best.startTag || (t.startTag == best.startTag && name > bestName)) {
 			continue
 		}
 		for _, w := range t.waiting {
@@ -54,11 +54,11 @@
 	return found
 }
 
-// granted removes a request that got a slot and charges its team.
-func (q *queue) granted(w *waiter) {
+// grant removes a request that got a slot and advances its team's start tag by the inverse of its share.
+func (q *queue) grant(w *waiter) {
 	t := q.teams[w.request.Team]
-	q.clock = max(q.clock, t.next)
-	t.next += 1 / float64(max(1, w.request.Share))
+	q.virtualTime = max(q.virtualTime, t.startTag)
+	t.startTag += 1 / float64(max(1, w.request.Share))
 	q.remove(w)
 }
 
@@ -72,30 +72,32 @@
 			continue
 		}
 		t.waiting = append(t.waiting[:i], t.waiting[i+1:]...)
-		q.n--
+		q.length--
 		break
 	}
-	if len(t.waiting) == 0 && t.next <= q.clock {
+	if len(t.waiting) == 0 && t.startTag <= q.virtualTime {
 		delete(q.teams, w.request.Team)
 	}
 }
 
-// longest returns the team that holds the most places for its share, and how many; nil when nobody waits.
+// largestTeam returns the team with the largest weighted length, and that length; nil when the queue is empty.
 //
-// Of teams that hold equally many, the first by name is returned.
-func (q *queue) longest() (t *teamQueue, places float64) {
-	var longestName string
+// Of teams with equal lengths, the first by name is returned.
+func (q *queue) largestTeam() (t *teamQueue, length float64) {
+	var largestName string
 	for name, other := range q.teams {
-		n := other.places()
-		if n == 0 || n < places || (n == places && name > longestName) {
+		n := other.weightedLength()
+		if n == 0 || n < length || (n == length && name > largestName) {
 			continue
 		}
-		t, places, longestName = other, n, name
+		t, length, largestName = other, n, name
 	}
-	return t, places
+	return t, length
 }
 
-func (t *teamQueue) places() float64 {
+// weightedLength returns the number of waiting requests divided by the team's share.
+
+func (t *teamQueue) weightedLength() float64 {
 	if len(t.waiting) == 0 {
 		return 0
 	}
--- a/route/sharing_bench_test.go
+++ b/route/sharing_bench_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// The benchmark drives real Gates in virtual time at Muscat's size: one service with 10 runners of 8 slots in four
-// data centres with two entries each. Each request enters at a random entry.
+// Parameters of the benchmark, which runs real Gates in virtual time. It has the size of the Muscat deployment: one service
+// with 10 targets of 8 slots in four data centres with two entries each. Each request arrives at a random entry.
 const (
 	simCentres  = 4
 	simEntries  = 8
@@ -22,29 +22,29 @@
 	simSlots    = 8
 	simRequests = 60_000
 	simService  = 20 * time.Millisecond
-	simHop      = time.Millisecond // one relay within a data centre, there and back
-	simFar      = 2 * time.Millisecond
+	simHop      = time.Millisecond     // round trip of a relay within a data centre
+	simCrossHop = 2 * time.Millisecond // round trip of a relay to another data centre
 	simDeadline = 2 * time.Second
 	simHint     = 5 * time.Millisecond
-	// What an entry makes of the free slots that data centres tell; see package serve.
+	// How an entry weighs the spare slots that data centres report; see package serve.
 	simSpareTime  = 10 * time.Millisecond
 	simUsualSpare = 2.0
 	simLeastSpare = 0.5
 	simRelaySpare = 2.0
 )
 
-// simEvent is something that happens at a time.
+// simEvent is a function that is called at a virtual time; events of equal time run in the order of their sequence.
 type simEvent struct {
-	at time.Duration
-	do func()
-	n  int
+	at       time.Duration
+	do       func()
+	sequence int
 }
 
 type simQueue []simEvent
 
 func (q simQueue) Len() int { return len(q) }
 func (q simQueue) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].n, q[j].n)) < 0
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].sequence, q[j].sequence)) < 0
 }
 func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *simQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
@@ -55,11 +55,11 @@
 	return e
 }
 
-// sim is one run: gates, what runs on each target, and the figures.
+// sim is one simulation run with its gates, the requests on each target and the measured figures.
 type sim struct {
 	now      time.Duration
 	events   simQueue
-	n        int
+	sequence int
 	random   *rand.Rand
 	gates    []*Gate
 	waiting  []*simWaiter
@@ -69,15 +69,16 @@
 	refused  int
 	pushback int
 	hops     int
-	// full is until when an entry takes a data centre for full.
+	// full is the time until which an entry assumes that a data centre has no free slot, by entry and data centre.
 	full map[[2]int]time.Duration
-	// pushes says that the targets refuse above their slots, because no gate knows all that they run.
-	pushes bool
-	// spares are what data centres told entries of their free slots.
+	// targetsPushBack makes targets refuse requests beyond their slots, for strategies whose gates don't see all requests of
+	// a target.
+	targetsPushBack bool
+	// spares are the latest spare slots that data centres reported, by entry and data centre.
 	spares map[[2]int]simSpare
 }
 
-// simSpare is a number of free slots less waiting requests, and when it was told.
+// simSpare is a number of free slots minus waiting requests, and the time of its report.
 type simSpare struct {
 	slots float64
 	at    time.Duration
@@ -94,8 +95,8 @@
 func (s *sim) clock() time.Time { return time.Unix(0, 0).Add(s.now) }
 
 func (s *sim) after(d time.Duration, do func()) {
-	s.n++
-	heap.Push(&s.events, simEvent{s.now + d, do, s.n})
+	s.sequence++
+	heap.Push(&s.events, simEvent{s.now + d, do, s.sequence})
 }
 
 func (s *sim) gate(slots int, targets []Target) *Gate {
@@ -115,9 +116,9 @@
 	return ts
 }
 
-// offer brings a request to a gate.
-func (s *sim) offer(g *Gate, arrived, extra, work time.Duration) {
-	w, lease, refused := g.enter(Request{Team: "t", Deadline: s.clock().Add(simDeadline)})
+// submit sends a request to a gate.
+func (s *sim) submit(g *Gate, arrived, extra, work time.Duration) {
+	w, lease, refused := g.admit(Request{Team: "t", Deadline: s.clock().Add(simDeadline)})
 	switch {
 	case refused != nil:
 		s.refused++
@@ -128,23 +129,23 @@
 	}
 }
 
-// offerNow brings a request to a gate only if a slot is free there.
-func (s *sim) offerNow(g *Gate, arrived, extra, work time.Duration) bool {
+// submitIfFree sends a request to a gate if the gate has a free slot, and reports whether it did.
+func (s *sim) submitIfFree(g *Gate, arrived, extra, work time.Duration) bool {
 	if !g.Free(Request{Team: "t"}) {
 		return false
 	}
-	s.offer(g, arrived, extra, work)
+	s.submit(g, arrived, extra, work)
 	return true
 }
 
 func (s *sim) run(l *Lease, arrived, extra, work time.Duration) {
 	id := l.Target.Instance
-	if s.pushes && s.busy[id] >= simSlots {
+	if s.targetsPushBack && s.busy[id] >= simSlots {
 		s.pushback++
 		s.after(simHop, func() {
 			l.Done(ResultRefused)
-			s.offer(l.gate, arrived, extra, work)
-			s.granted()
+			s.submit(l.gate, arrived, extra, work)
+			s.startGranted()
 		})
 		return
 	}
@@ -154,12 +155,12 @@
 	s.after(work, func() {
 		s.busy[id]--
 		l.Done(ResultOK)
-		s.granted()
+		s.startGranted()
 	})
 }
 
-// granted starts the waiting requests that were given a slot.
-func (s *sim) granted() {
+// startGranted runs the waiting requests that were granted a slot.
+func (s *sim) startGranted() {
 	s.waiting = slices.DeleteFunc(s.waiting, func(w *simWaiter) bool {
 		select {
 		case l := <-w.w.granted:
@@ -174,55 +175,56 @@
 	})
 }
 
-// simWay is one way for entries to share the slots; it sets up the gates and returns how a request is brought to them.
-type simWay struct {
-	name string
-	set  func(s *sim) func(entry int, work time.Duration)
+// simStrategy is one way in which entries share the slots; setUp creates the gates and returns the function that routes a
+// request.
+type simStrategy struct {
+	name  string
+	setUp func(s *sim) func(entry int, work time.Duration)
 }
 
-func simWays() []simWay {
-	return []simWay{
+func simStrategies() []simStrategy {
+	return []simStrategy{
 		{"one-queue", func(s *sim) func(int, time.Duration) {
 			g := s.gate(simSlots, simTargets(-1))
-			return func(_ int, work time.Duration) { s.offer(g, s.now, 0, work) }
+			return func(_ int, work time.Duration) { s.submit(g, s.now, 0, work) }
 		}},
 		{"fixed-shares", func(s *sim) func(int, time.Duration) {
 			var gates []*Gate
 			for e := range simEntries {
 				gates = append(gates, s.gate(simSlots*simCentres/simEntries, simTargets(e%simCentres)))
 			}
-			return func(e int, work time.Duration) { s.offer(gates[e], s.now, 0, work) }
+			return func(e int, work time.Duration) { s.submit(gates[e], s.now, 0, work) }
 		}},
 		{"least-load-pushback", func(s *sim) func(int, time.Duration) {
-			s.pushes = true
+			s.targetsPushBack = true
 			var gates []*Gate
 			for e := range simEntries {
 				gates = append(gates, s.gate(simSlots, simTargets(e%simCentres)))
 			}
-			return func(e int, work time.Duration) { s.offer(gates[e], s.now, 0, work) }
+			return func(e int, work time.Duration) { s.submit(gates[e], s.now, 0, work) }
 		}},
 		{"owner", func(s *sim) func(int, time.Duration) {
-			gates := s.owners()
+			gates := s.ownerGates()
 			return func(e int, work time.Duration) {
-				s.offer(gates[e%simCentres], s.now, s.hop(e, e%simCentres), work)
+				s.submit(gates[e%simCentres], s.now, s.hop(e, e%simCentres), work)
 			}
 		}},
 		{"owner-spill", func(s *sim) func(int, time.Duration) {
-			gates := s.owners()
+			gates := s.ownerGates()
 			return func(e int, work time.Duration) { s.spill(gates, e, work, 0) }
 		}},
 		{"owner-spill-hint", func(s *sim) func(int, time.Duration) {
-			gates := s.owners()
+			gates := s.ownerGates()
 			return func(e int, work time.Duration) { s.spill(gates, e, work, simHint) }
 		}},
 		{"owner-spill-spares", func(s *sim) func(int, time.Duration) {
-			gates := s.owners()
+			gates := s.ownerGates()
 			return func(e int, work time.Duration) { s.spillBySpares(gates, e, work) }
 		}},
 	}
 }
 
-func (s *sim) owners() []*Gate {
+func (s *sim) ownerGates() []*Gate {
 	var gates []*Gate
 	for c := range simCentres {
 		gates = append(gates, s.gate(simSlots, simTargets(c)))
@@ -230,26 +232,26 @@
 	return gates
 }
 
-// hop is the time that a request from the entry needs to the owner in the data centre.
+// hop returns the relay time between the entry and the owner of the gate in the data centre.
 func (s *sim) hop(entry, centre int) time.Duration {
 	switch {
 	case entry%simCentres != centre:
 		s.hops++
-		return simFar
-	case entry/simCentres == 1: // the other entry of the data centre is the owner
+		return simCrossHop
+	case entry/simCentres == 1: // the data centre's other entry is the owner
 		s.hops++
 		return simHop
 	}
 	return 0
 }
 
-// spill tries the own data centre, then a free slot in the others, and waits at home when there is none.
+// spill tries the local data centre, then a free slot in the others, and queues locally when there is none.
 //
-// With a hint, a data centre that had no free slot is not asked again by the same entry for a while.
+// With a hint, an entry doesn't ask a data centre that had no free slot again for that duration.
 func (s *sim) spill(gates []*Gate, e int, work, hint time.Duration) {
 	home := e % simCentres
 	arrived, extra := s.now, s.hop(e, home)
-	if s.offerNow(gates[home], arrived, extra, work) {
+	if s.submitIfFree(gates[home], arrived, extra, work) {
 		return
 	}
 	first := s.random.IntN(simCentres)
@@ -259,55 +261,55 @@
 			continue
 		}
 		s.hops++
-		extra += simFar
-		if s.offerNow(gates[to], arrived, extra, work) {
+		extra += simCrossHop
+		if s.submitIfFree(gates[to], arrived, extra, work) {
 			return
 		}
 		s.full[[2]int{e, to}] = s.now + hint
 	}
-	s.offer(gates[home], arrived, extra, work)
+	s.submit(gates[home], arrived, extra, work)
 }
 
-// spillBySpares tries the own data centre, then the others by what is to be expected there, and waits in the shortest queue.
+// spillBySpares tries the local data centre, then the others by their expected spare slots, and queues in the shortest queue.
 func (s *sim) spillBySpares(gates []*Gate, e int, work time.Duration) {
 	home := e % simCentres
 	arrived, extra := s.now, s.hop(e, home)
-	if s.offerNow(gates[home], arrived, extra, work) {
+	if s.submitIfFree(gates[home], arrived, extra, work) {
 		return
 	}
-	for _, to := range s.byExpectation(e, home) {
+	for _, to := range s.byExpectedSpare(e, home) {
 		s.hops++
-		extra += simFar
-		if s.offerNow(gates[to], arrived, extra, work) {
-			s.sent(gates, e, to, work)
+		extra += simCrossHop
+		if s.submitIfFree(gates[to], arrived, extra, work) {
+			s.countSent(gates, e, to, work)
 			return
 		}
 		s.spares[[2]int{e, to}] = simSpare{float64(gates[to].Spare()), s.now}
 	}
-	to := s.shortest(e, home, gates)
+	to := s.shortestQueue(e, home, gates)
 	if to != home {
 		s.hops++
-		extra += simFar
-		s.sent(gates, e, to, work)
+		extra += simCrossHop
+		s.countSent(gates, e, to, work)
 	}
-	s.offer(gates[to], arrived, extra, work)
+	s.submit(gates[to], arrived, extra, work)
 }
 
-// sent counts the request where it went, until its answer tells anew.
-func (s *sim) sent(gates []*Gate, e, to int, work time.Duration) {
+// countSent subtracts the request from the recorded spare slots until its response reports them again.
+func (s *sim) countSent(gates []*Gate, e, to int, work time.Duration) {
 	key := [2]int{e, to}
 	s.spares[key] = simSpare{s.spares[key].slots - 1, s.spares[key].at}
 	s.after(work, func() { s.spares[key] = simSpare{float64(gates[to].Spare()), s.now} })
 }
 
-func (s *sim) byExpectation(e, home int) []int {
+func (s *sim) byExpectedSpare(e, home int) []int {
 	expected := make(map[int]float64)
 	var list []int
 	for off := range simCentres {
 		to := (off + e) % simCentres
-		told := s.spares[[2]int{e, to}]
-		worth := math.Exp(-float64(s.now-told.at) / float64(simSpareTime))
-		expected[to] = told.slots*worth + simUsualSpare*(1-worth)
+		reported := s.spares[[2]int{e, to}]
+		weight := math.Exp(-float64(s.now-reported.at) / float64(simSpareTime))
+		expected[to] = reported.slots*weight + simUsualSpare*(1-weight)
 		if to != home && expected[to] >= simLeastSpare {
 			list = append(list, to)
 		}
@@ -316,21 +318,22 @@
 	return list
 }
 
-func (s *sim) shortest(e, home int, gates []*Gate) int {
+func (s *sim) shortestQueue(e, home int, gates []*Gate) int {
 	best, value := home, float64(gates[home].Spare())+simRelaySpare
 	for to := range simCentres {
-		told := s.spares[[2]int{e, to}]
-		if to != home && s.now-told.at <= simSpareTime && told.slots > value {
-			best, value = to, told.slots
+		reported := s.spares[[2]int{e, to}]
+		if to != home && s.now-reported.at <= simSpareTime && reported.slots > value {
+			best, value = to, reported.slots
 		}
 	}
 	return best
 }
 
-// simulate sends the requests at the load and returns the figures.
-func simulate(way simWay, load float64, skew float64) *sim {
+// simulate runs the strategy at the load, as a fraction of the capacity, and returns the figures. A fraction skew of the
+// requests arrives at the first data centre, the rest at random entries.
+func simulate(strategy simStrategy, load float64, skew float64) *sim {
 	s := &sim{random: rand.New(rand.NewPCG(7, 11)), busy: make(map[string]int), full: make(map[[2]int]time.Duration), spares: make(map[[2]int]simSpare)}
-	bring := way.set(s)
+	route := strategy.setUp(s)
 	gap := float64(simService) / (float64(simRunners*simSlots) * load)
 	sent := 0
 	var arrive func()
@@ -340,7 +343,7 @@
 		if s.random.Float64() < skew {
 			entry = simCentres * s.random.IntN(2) // callers near the first data centre
 		}
-		bring(entry, time.Duration(s.random.ExpFloat64()*float64(simService)))
+		route(entry, time.Duration(s.random.ExpFloat64()*float64(simService)))
 		if sent < simRequests {
 			s.after(time.Duration(s.random.ExpFloat64()*gap), arrive)
 		}
@@ -355,14 +358,15 @@
 	return s
 }
 
-// BenchmarkSharing compares the ways at three loads, with callers spread evenly and with a fifth of them at one data centre.
+// BenchmarkSharing compares the strategies at four loads, with callers spread evenly and with a fifth of them at one data
+// centre.
 func BenchmarkSharing(b *testing.B) {
 	for _, skew := range [...]float64{0, 0.2} {
 		for _, load := range [...]float64{0.70, 0.85, 0.95, 1.5} {
-			for _, way := range simWays() {
-				b.Run(fmt.Sprintf("skew=%.1f/load=%.2f/%s", skew, load, way.name), func(b *testing.B) {
+			for _, strategy := range simStrategies() {
+				b.Run(fmt.Sprintf("skew=%.1f/load=%.2f/%s", skew, load, strategy.name), func(b *testing.B) {
 					for b.Loop() {
-						s := simulate(way, load, skew)
+						s := simulate(strategy, load, skew)
 						n := float64(len(s.waits))
 						b.ReportMetric(float64(s.waits[len(s.waits)/2])/1e6, "p50-ms")
 						b.ReportMetric(float64(s.waits[len(s.waits)*99/100])/1e6, "p99-ms")
