--- a/claim/cost_test.go
+++ b/claim/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// BenchmarkClaims gives the time, the memory and the bytes in the log of one claim and its completion, at three sizes.
+// BenchmarkClaims measures the time, the memory and the bytes in the log for one claim with its completion, at three sizes.
 func BenchmarkClaims(b *testing.B) {
 	for _, n := range [...]int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint("claims=", n), func(b *testing.B) {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -22,7 +22,7 @@
 	"rackstep.dev/feed"
 )
 
-// model is a claims log and the entries that fold it, with a list of what ran as the oracle.
+// model is a claims log with the entries that apply it; runs counts how often each key was dispatched and serves as the oracle.
 type model struct {
 	log     []Batch
 	now     int64
@@ -34,9 +34,9 @@
 type modelEntry struct {
 	tables Tables
 	next   int
-	// wanted are the claims that this life has written and may dispatch when it wins.
-	wanted map[string]Claim
-	// won are claims that it may dispatch now, ran those that it has dispatched.
+	// pending holds the claims that the entry has written since its last start and whose verdict it doesn't know.
+	pending map[string]Claim
+	// won holds the claims that the entry may dispatch now, ran those that it has dispatched.
 	won []Claim
 	ran []Claim
 }
@@ -53,24 +53,24 @@
 	return m.entries[rapid.IntRange(0, len(m.entries)-1).Draw(t, "entry")]
 }
 
-// request has the entry claim a key; copies of one request share its digest and NotAfter.
+// request makes an entry claim a key. Copies of a request have the same digest and NotAfter.
 func (m *model) request(t *rapid.T) {
 	e := m.entry(t)
 	key := rapid.IntRange(0, 3).Draw(t, "key")
 	m.tokens++
 	c := Claim{Key: fmt.Sprint("k", key), Digest: [16]byte{byte(key)}, NotAfter: int64(1+key) * 60_000, Token: fmt.Sprint("t", m.tokens)}
-	e.wanted[c.Token] = c
+	e.pending[c.Token] = c
 	m.write(t, Batch{Claims: []Claim{c}})
 }
 
-func (m *model) fold(t *rapid.T) {
+func (m *model) apply(t *rapid.T) {
 	e := m.entry(t)
 	if e.next == len(m.log) {
 		return
 	}
 	e.tables.Apply(m.log[e.next], func(c Claim, v Verdict) {
-		if _, mine := e.wanted[c.Token]; mine {
-			delete(e.wanted, c.Token) // a waiter hears its verdict once
+		if _, mine := e.pending[c.Token]; mine {
+			delete(e.pending, c.Token) // a waiter receives its verdict once
 			if v.Kind == Won {
 				e.won = append(e.won, c)
 			}
@@ -101,20 +101,22 @@
 	}
 }
 
-// crash ends a life: what it had won and not dispatched is never dispatched.
+// crash restarts an entry; claims that it had won and not dispatched are never dispatched.
 func (m *model) crash(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.entries)-1).Draw(t, "crashed")
-	m.entries[i] = &modelEntry{wanted: make(map[string]Claim)}
+	m.entries[i] = &modelEntry{pending: make(map[string]Claim)}
 }
 
+// TestAKeyRunsAtMostOnce guards against two entries dispatching the same key when claims are duplicated, released and completed
+// and entries crash.
 func TestAKeyRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{runs: make(map[string]int), now: 1}
 		for range 3 {
-			m.entries = append(m.entries, &modelEntry{wanted: make(map[string]Claim)})
+			m.entries = append(m.entries, &modelEntry{pending: make(map[string]Claim)})
 		}
 		actions := map[string]func(*rapid.T){
-			"request": m.request, "fold": m.fold, "dispatch": m.dispatch, "complete": m.complete, "crash": m.crash,
+			"request": m.request, "fold": m.apply, "dispatch": m.dispatch, "complete": m.complete, "crash": m.crash,
 			"pass": func(t *rapid.T) { m.now += int64(rapid.IntRange(0, 400_000).Draw(t, "ms")) },
 			"":     func(t *rapid.T) { m.check(t) },
 		}
@@ -130,37 +132,37 @@
 	}
 }
 
-// looped is a Book whose log is a slice in memory.
-type looped struct {
-	mu   sync.Mutex
-	book Book
-	log  [][]byte
-	fail error
+// memoryLog is a Registry whose log is a slice in memory.
+type memoryLog struct {
+	mu       sync.Mutex
+	registry Book
+	log      [][]byte
+	fail     error
 }
 
-func newLooped() *looped {
-	l := &looped{}
-	l.book.Append = func(_ context.Context, data []byte) error {
+func newMemoryLog() *memoryLog {
+	l := &memoryLog{}
+	l.registry.Append = func(_ context.Context, data []byte) error {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.fail != nil && !errors.Is(l.fail, feed.ErrUncertain) {
 			return l.fail
 		}
 		l.log = append(l.log, data)
-		go func() { _ = l.book.Fold(data) }() // the reader
+		go func() { _ = l.registry.Apply(data) }() // the reader
 		return l.fail
 	}
-	l.book.SetReady(true)
+	l.registry.SetReady(true)
 	return l
 }
 
-// onBook runs the test on fake time with a running Book.
-func onBook(t *testing.T, f func(c *quicktest.C, ctx context.Context, l *looped)) {
+// withBook runs the test on fake time with a running Registry.
+func withBook(t *testing.T, f func(c *quicktest.C, ctx context.Context, l *memoryLog)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		l := newLooped()
+		l := newMemoryLog()
 		done := make(chan struct{})
-		go func() { _ = l.book.Run(ctx); close(done) }()
+		go func() { _ = l.registry.Run(ctx); close(done) }()
 		f(quicktest.New(t), ctx, l)
 		cancel()
 		<-done
@@ -171,15 +173,17 @@
 	return Claim{Key: "k", NotAfter: time.Now().Add(time.Minute).UnixMilli(), Token: token}
 }
 
+// TestManyClaimsShareOneAppend guards against one append per claim, which would exceed the append rate of the log when many
+// requests arrive at once.
 func TestManyClaimsShareOneAppend(t *testing.T) {
-	onBook(t, func(c *quicktest.C, ctx context.Context, l *looped) {
+	withBook(t, func(c *quicktest.C, ctx context.Context, l *memoryLog) {
 		var work sync.WaitGroup
 		for i := range 400 {
 			work.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
 				cl := testClaim(fmt.Sprint(i))
 				cl.Key = fmt.Sprint("k", i)
-				v, err := l.book.Claim(ctx, cl)
+				v, err := l.registry.Claim(ctx, cl)
 				c.Check(err, quicktest.IsNil)
 				c.Check(v.Kind, quicktest.Equals, Won)
 			})
@@ -189,88 +193,100 @@
 	})
 }
 
+// TestManyEntriesTogetherStayWithinTheLogsAppends guards against entries that each append at the minimum interval and together
+// exceed the append rate of the log. One entry runs and is told that there are 32.
 func TestManyEntriesTogetherStayWithinTheLogsAppends(t *testing.T) {
-	onBook(t, func(c *quicktest.C, ctx context.Context, l *looped) {
+	withBook(t, func(c *quicktest.C, ctx context.Context, l *memoryLog) {
 		const entries = 32
-		l.book.SetEntries(entries)
+		l.registry.SetEntries(entries)
 		var work sync.WaitGroup
 		for i := range 100 {
 			work.Go(func() {
 				time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 				cl := testClaim(fmt.Sprint(i))
 				cl.Key = fmt.Sprint("k", i)
-				_, err := l.book.Claim(ctx, cl)
+				_, err := l.registry.Claim(ctx, cl)
 				c.Check(err, quicktest.IsNil)
 			})
 		}
 		work.Wait()
-		c.Assert(len(l.log)*entries <= SiteAppends*12/10, quicktest.IsTrue, quicktest.Commentf("%d appends of one entry in a second", len(l.log)))
+		c.Assert(len(l.log)*entries <= MaxSiteAppends*12/10, quicktest.IsTrue, quicktest.Commentf("%d appends of one entry in a second", len(l.log)))
 	})
 }
 
+// TestWithTheLogDownAClaimIsRefusedAtOnceAndLaterTriedAgain guards against claims that wait for a log that is known to be down,
+// and against an entry that doesn't try the log again after the outage.
 func TestWithTheLogDownAClaimIsRefusedAtOnceAndLaterTriedAgain(t *testing.T) {
-	onBook(t, func(c *quicktest.C, ctx context.Context, l *looped) {
+	withBook(t, func(c *quicktest.C, ctx context.Context, l *memoryLog) {
 		l.fail = feed.ErrUnavailable
-		_, err := l.book.Claim(ctx, testClaim("a"))
+		_, err := l.registry.Claim(ctx, testClaim("a"))
 		c.Assert(errors.Is(err, ErrNotClaimed), quicktest.IsTrue)
 		begin := time.Now()
-		_, err = l.book.Claim(ctx, testClaim("b"))
+		_, err = l.registry.Claim(ctx, testClaim("b"))
 		c.Assert(errors.Is(err, ErrNotClaimed), quicktest.IsTrue)
 		c.Assert(time.Since(begin), quicktest.Equals, time.Duration(0))
 		l.mu.Lock()
 		l.fail = nil
 		l.mu.Unlock()
 		time.Sleep(RetryPause)
-		v, err := l.book.Claim(ctx, testClaim("c"))
+		v, err := l.registry.Claim(ctx, testClaim("c"))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(v.Kind, quicktest.Equals, Won)
 	})
 }
 
+// TestALostAnswerIsReadBack guards against treating an append whose response was lost as failed: the record is in the log, so its
+// claim has won and a second one must not.
 func TestALostAnswerIsReadBack(t *testing.T) {
-	onBook(t, func(c *quicktest.C, ctx context.Context, l *looped) {
+	withBook(t, func(c *quicktest.C, ctx context.Context, l *memoryLog) {
 		l.fail = feed.ErrUncertain
-		v, err := l.book.Claim(ctx, testClaim("a"))
+		v, err := l.registry.Claim(ctx, testClaim("a"))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(v.Kind, quicktest.Equals, Won)
-		v, err = l.book.Claim(ctx, testClaim("b"))
+		v, err = l.registry.Claim(ctx, testClaim("b"))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(v.Kind, quicktest.Equals, Open)
 	})
 }
 
+// TestAClaimThatIsGivenUpIsReleased guards against a key that stays claimed by an abandoned claim: the append takes longer than the
+// caller waits, and the claim wins afterwards.
 func TestAClaimThatIsGivenUpIsReleased(t *testing.T) {
-	onBook(t, func(c *quicktest.C, ctx context.Context, l *looped) {
-		slow := l.book.Append
-		l.book.Append = func(ctx context.Context, data []byte) error {
+	withBook(t, func(c *quicktest.C, ctx context.Context, l *memoryLog) {
+		slow := l.registry.Append
+		l.registry.Append = func(ctx context.Context, data []byte) error {
 			time.Sleep(time.Second)
 			return slow(ctx, data)
 		}
 		short, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 		defer cancel()
-		_, err := l.book.Claim(short, testClaim("a"))
+		_, err := l.registry.Claim(short, testClaim("a"))
 		c.Assert(errors.Is(err, ErrNotClaimed), quicktest.IsTrue)
 		time.Sleep(5 * time.Second)
-		v, err := l.book.Claim(ctx, testClaim("b"))
+		v, err := l.registry.Claim(ctx, testClaim("b"))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(v.Kind, quicktest.Equals, Won)
 	})
 }
 
+// TestAnEntryThatMissedPartOfTheLogClaimsNoOldKey guards against claiming a key whose earlier claim is in records that the log dropped
+// before the entry read them.
 func TestAnEntryThatMissedPartOfTheLogClaimsNoOldKey(t *testing.T) {
-	onBook(t, func(c *quicktest.C, ctx context.Context, l *looped) {
+	withBook(t, func(c *quicktest.C, ctx context.Context, l *memoryLog) {
 		first, err := Batch{Time: time.Now().UnixMilli()}.Encode()
 		c.Assert(err, quicktest.IsNil)
-		l.book.StartAt(100, first)
-		_, err = l.book.Claim(ctx, testClaim("a"))
+		l.registry.StartAt(100, first)
+		_, err = l.registry.Claim(ctx, testClaim("a"))
 		c.Assert(errors.Is(err, ErrNotClaimed), quicktest.IsTrue)
-		time.Sleep(MaxAhead + clockSlack)
-		v, err := l.book.Claim(ctx, testClaim("b"))
+		time.Sleep(MaxAhead + maxClockSkew)
+		v, err := l.registry.Claim(ctx, testClaim("b"))
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(v.Kind, quicktest.Equals, Won)
 	})
 }
 
+// TestClaimsAreDroppedAndNotWonAgain guards against tables that grow without bound, and against winning a key again after its claim was
+// dropped.
 func TestClaimsAreDroppedAndNotWonAgain(t *testing.T) {
 	c := quicktest.New(t)
 	var tables Tables
@@ -278,11 +294,12 @@
 	var kinds []Kind
 	note := func(_ Claim, v Verdict) { kinds = append(kinds, v.Kind) }
 	tables.Apply(Batch{Time: 1, Claims: []Claim{cl}}, note)
-	tables.Apply(Batch{Time: 1001 + Memory.Milliseconds(), Claims: []Claim{{Key: "k", NotAfter: 1000, Token: "b"}}}, note)
+	tables.Apply(Batch{Time: 1001 + Retention.Milliseconds(), Claims: []Claim{{Key: "k", NotAfter: 1000, Token: "b"}}}, note)
 	c.Assert(kinds, quicktest.DeepEquals, []Kind{Won, Expired})
 	c.Assert(tables.Len(), quicktest.Equals, 0)
 }
 
+// FuzzDecodeBatch guards against panics when arbitrary bytes are decoded and applied, and against claims that were not in the batch.
 func FuzzDecodeBatch(f *testing.F) {
 	b, err := Batch{Time: 5, Claims: []Claim{{Key: "k", NotAfter: 9, Token: "t"}}, Completions: []Completion{{Key: "k", Token: "t", Status: 200}}}.Encode()
 	if err != nil {
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,27 +1,28 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package claim makes a request that must not be repeated run at most once.
+Package claim makes non-repeatable requests run at most once.
 
-Such a request has a key and a time after which it must not run. Before an
-entry dispatches it, the entry claims the key in a log that all entries read.
-The first claim in the log's order wins; every other entry reads the same
-order and sees that it lost:
+Such a request has an idempotency key and a time after which it must not run.
+Before an entry dispatches the request, it claims the key in a log that all
+entries read. The first claim in the order of the log wins, and all entries
+reach the same verdict because they read the same order:
 
-	verdict, err := book.Claim(ctx, claim.Claim{Key: "team/42", Token: "e1-7", NotAfter: t})
+	verdict, err := registry.Claim(ctx, claim.Claim{Key: "team/42", Token: "e1-7", NotAfter: t})
 	if err != nil {
-		// Never dispatched by us: the caller is told "not run".
+		// This entry must not dispatch the request; the caller gets "not run".
 	}
 	if verdict.Kind != claim.Won {
-		// Somebody else holds the key: the caller is told what is known of it.
+		// Another attempt holds the key; the caller gets what is known about it.
 	}
 
-A claim that is never completed stays unknown; it is never run again. A holder
-that has not dispatched may release its claim. Claims are dropped some time
-after their NotAfter, and the fold refuses any claim whose NotAfter has passed
-in the log's own time, so a dropped key can't be won again.
+The outcome of a claim that is never completed stays unknown, and its request
+is never run again. A holder that has not dispatched the request may release
+its claim. A claim is dropped some time after its NotAfter. A dropped key can't
+be won again, because a claim whose NotAfter has passed in the log's time is
+refused.
 
-Claims of many requests share one append (group commit), because the log takes
-only several hundred appends a second for everybody.
+The claims of many requests share one append (group commit), because the log
+accepts only several hundred appends a second from all entries together.
 */
 package claim
--- a/claim/tables.go
+++ b/claim/tables.go
@@ -7,118 +7,121 @@
 	"time"
 )
 
-// Claim is one entry's wish to run a request.
+// Claim is an entry's attempt to acquire the key of a request.
 type Claim struct {
 	_ struct{} `cbor:",toarray"`
 	// Key is the team's name, a slash and the caller's key.
 	Key string
-	// Digest is a hash of the request, so that a key is not used for two.
+	// Digest is a hash of the request; it detects that a key is used for two different requests.
 	Digest [16]byte
-	// NotAfter is when the request must no longer run, in Unix milliseconds; part of the request's identity.
+	// NotAfter is the time after which the request must not run, in Unix milliseconds. It is part of the request's identity.
 	NotAfter int64
-	// Token names this attempt; a copy of the same record has the same token.
+	// Token identifies this attempt; a duplicate of the same record has the same token.
 	Token string
 }
 
-// Completion is what became of a claimed request.
+// Completion records the result of a claimed request, or releases its claim.
 type Completion struct {
 	_     struct{} `cbor:",toarray"`
 	Key   string
 	Token string
-	// Status is the HTTP status of the whole answer, or 0 to release a claim that was never dispatched.
+	// Status is the HTTP status of the complete response, or 0 to release a claim whose request was never dispatched.
 	Status int
 }
 
 // Batch is one record of the claims log.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
-	// Time is the platform's clock as the writer last read it, in Unix milliseconds; the largest one is the log's time.
+	// Time is the platform's time as last read by the writer, in Unix milliseconds. The largest Time in the log is the log's
+	// time.
 	Time        int64
 	Claims      []Claim
 	Completions []Completion
 }
 
-// Kind tells verdicts apart.
+// Kind is the kind of a Verdict.
 type Kind int
 
 // Kinds of a Verdict.
 const (
-	Won      Kind = iota // the request may be dispatched by this token's holder
+	Won      Kind = iota // the holder of this token may dispatch the request
 	Open                 // another token holds the key and no completion is known
-	Complete             // the request ran and its whole answer was delivered to its entry
-	Conflict             // the key is taken by a different request
+	Complete             // the request ran and the entry that dispatched it received the complete response
+	Conflict             // a different request holds the key
 	Expired              // NotAfter has passed in the log's time, or is too far ahead of it
 )
 
-// Verdict is the fold's answer to a claim.
+// Verdict is the result of applying a claim to the tables.
 type Verdict struct {
 	Kind Kind
-	// Status is the HTTP status of the first answer, for Complete.
+	// Status is the HTTP status of the first response; set for Complete.
 	Status int
 }
 
-// Memory is how long a claim is kept after its NotAfter, in the log's time.
-const Memory = 10 * time.Minute
+// Retention is how long a claim is kept after its NotAfter, measured in the log's time.
+const Retention = 10 * time.Minute
 
-// MaxAhead is the furthest NotAfter that a claim may carry, from the log's time.
+// MaxAhead is how far the NotAfter of a claim may lie ahead of the log's time.
 const MaxAhead = 15 * time.Minute
 
-type row struct {
+// claimState is the winning claim of a key and the status of its completion, 0 when there is none.
+type claimState struct {
 	claim  Claim
 	status int
 }
 
-// Tables is the state that every entry folds from the claims log; the zero value is empty.
+// Tables is the state that every entry builds from the claims log; the zero value is empty.
 type Tables struct {
-	rows map[string]*row
-	// now is the log's time, the largest Batch.Time folded.
-	now   int64
-	byEnd expiryQueue
+	claims map[string]*claimState
+	// logTime is the largest Batch.Time applied.
+	logTime  int64
+	expiries expiryQueue
 }
 
 // Len returns the number of claims kept.
-func (t *Tables) Len() int { return len(t.rows) }
+func (t *Tables) Len() int { return len(t.claims) }
 
 // Now returns the log's time in Unix milliseconds.
-func (t *Tables) Now() int64 { return t.now }
+func (t *Tables) Now() int64 { return t.logTime }
 
-// Apply folds the batch and calls decided with each claim's verdict.
-func (t *Tables) Apply(b Batch, decided func(Claim, Verdict)) {
-	t.now = max(t.now, b.Time)
-	t.drop()
+// Apply applies the batch and calls deliver with the verdict of each claim.
+func (t *Tables) Apply(b Batch, deliver func(Claim, Verdict)) {
+	t.logTime = max(t.logTime, b.Time)
+	t.dropExpired()
 	for _, c := range b.Claims {
-		decided(c, t.claim(c))
+		deliver(c, t.claim(c))
 	}
 	for _, c := range b.Completions {
 		t.complete(c)
 	}
 }
 
-// Look returns what is known of the claim's key, and false when nothing is.
-func (t *Tables) Look(c Claim) (Verdict, bool) {
-	r := t.rows[c.Key]
+// Lookup returns the verdict on the claim without acquiring its key, and false when nobody holds the key.
+func (t *Tables) Lookup(c Claim) (Verdict, bool) {
+	r := t.claims[c.Key]
 	if r == nil {
 		return Verdict{}, false
 	}
 	return r.verdict(c), true
 }
 
+// claim acquires the key unless it is held or the claim has expired, and returns the verdict.
 func (t *Tables) claim(c Claim) Verdict {
-	if r := t.rows[c.Key]; r != nil {
+	if r := t.claims[c.Key]; r != nil {
 		return r.verdict(c)
 	}
-	if c.NotAfter <= t.now || c.NotAfter > t.now+MaxAhead.Milliseconds() {
+	if c.NotAfter <= t.logTime || c.NotAfter > t.logTime+MaxAhead.Milliseconds() {
 		return Verdict{Kind: Expired}
 	}
-	if t.rows == nil {
-		t.rows = make(map[string]*row)
+	if t.claims == nil {
+		t.claims = make(map[string]*claimState)
 	}
-	t.rows[c.Key] = &row{claim: c}
-	heap.Push(&t.byEnd, expiry{c.NotAfter, c.Key, c.Token})
+	t.claims[c.Key] = &claimState{claim: c}
+	heap.Push(&t.expiries, expiry{c.NotAfter, c.Key, c.Token})
 	return Verdict{Kind: Won}
 }
 
-func (r *row) verdict(c Claim) Verdict {
+func (r *claimState) verdict(c Claim) Verdict {
 	switch {
 	case r.claim.Digest != c.Digest || r.claim.NotAfter != c.NotAfter:
 		return Verdict{Kind: Conflict}
@@ -130,42 +133,47 @@
 	return Verdict{Kind: Open}
 }
 
+// complete stores the status of the completion, or releases the claim. It ignores a completion by another token than the holder's
+// and any further one.
 func (t *Tables) complete(c Completion) {
-	r := t.rows[c.Key]
+	r := t.claims[c.Key]
 	if r == nil || r.claim.Token != c.Token || r.status != 0 {
 		return
 	}
 	if c.Status == 0 {
-		delete(t.rows, c.Key)
+		delete(t.claims, c.Key)
 		return
 	}
 	r.status = c.Status
 }
 
-func (t *Tables) drop() {
-	for len(t.byEnd) > 0 && t.byEnd[0].notAfter+Memory.Milliseconds() <= t.now {
-		e := heap.Pop(&t.byEnd).(expiry)
-		if r := t.rows[e.key]; r != nil && r.claim.Token == e.token {
-			delete(t.rows, e.key)
+// dropExpired removes the claims whose retention has ended in the log's time.
+func (t *Tables) dropExpired() {
+	for len(t.expiries) > 0 && t.expiries[0].notAfter+Retention.Milliseconds() <= t.logTime {
+		e := heap.Pop(&t.expiries).(expiry)
+		if r := t.claims[e.key]; r != nil && r.claim.Token == e.token {
+			delete(t.claims, e.key)
 		}
 	}
 }
 
+// expiry is an element of expiryQueue.
 type expiry struct {
 	notAfter   int64
 	key, token string
 }
 
+// expiryQueue is a heap of claims, ordered by their NotAfter.
 type expiryQueue []expiry
 
 func (q expiryQueue) Len() int           { return len(q) }
 func (q expiryQueue) Less(i, j int) bool { return q[i].notAfter < q[j].notAfter }
 func (q expiryQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
-// Push adds x; it is called by container/heap.
+// Push implements heap.Interface.
 func (q *expiryQueue) Push(x any) { *q = append(*q, x.(expiry)) }
 
-// Pop removes the last element; it is called by container/heap.
+// Pop implements heap.Interface.
 func (q *expiryQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -12,33 +12,34 @@
 	"rackstep.dev/fleet"
 )
 
-// checkpointing remembers when the newest checkpoint was seen and when this entry would write the next.
-type checkpointing struct {
-	seen    int64
-	since   time.Time
+// checkpointState is the offset of the newest checkpoint, when this entry first saw it, and when the next one is due.
+type checkpointState struct {
+	offset  int64
+	seenAt  time.Time
 	due     time.Time
 	writing bool
 }
 
-func (m *checkpointing) reset() { *m = checkpointing{} }
+func (m *checkpointState) reset() { *m = checkpointState{} }
 
-// checkpoint carries the tables forward in the log when the newest one is old.
+// checkpoint writes the tables to the log when the newest checkpoint is old or many records follow it.
 //
-// The leader writes first; any other entry does so later when none appeared. A second one changes nothing.
+// The owner of the duty writes first. Any other entry writes later if no checkpoint has appeared; a redundant checkpoint has no
+// effect.
 func (c *Controller) checkpoint(now time.Time) {
-	m := &c.marks
-	if m.since.IsZero() || m.seen != c.tables.Checkpointed {
-		m.seen, m.since = c.tables.Checkpointed, now
+	m := &c.checkpointState
+	if m.seenAt.IsZero() || m.offset != c.tables.Checkpointed {
+		m.offset, m.seenAt = c.tables.Checkpointed, now
 		m.due = now.Add(c.checkpointEvery()/2 + rand.N(c.checkpointEvery()/2))
 	}
 	due := m.due
-	if c.tables.Offset-m.seen >= c.checkpointRecords() {
-		due = m.since
+	if c.tables.Offset-m.offset >= c.checkpointRecords() {
+		due = m.seenAt
 	}
-	if !c.leads("checkpoint", "") {
+	if !c.ownsDuty("checkpoint", "") {
 		due = due.Add(c.checkpointEvery())
 	}
-	if m.writing || now.Before(due) || c.tables.Offset == m.seen || !c.reach.log || c.tables.Version == 0 {
+	if m.writing || now.Before(due) || c.tables.Offset == m.offset || !c.logState.reachable || c.tables.Version == 0 {
 		return
 	}
 	m.due = now.Add(c.checkpointEvery() / 2)
@@ -71,11 +72,11 @@
 		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error())
 		return
 	}
-	c.marks.writing = true
+	c.checkpointState.writing = true
 	go func() {
 		_, err := c.Log.Append(c.ctx, [][]byte{data})
-		_ = c.post(c.ctx, func() { // it fails only when the entry stops
-			c.marks.writing = false
+		_ = c.post(c.ctx, func() { // post fails only when the entry stops
+			c.checkpointState.writing = false
 			if err == nil {
 				c.Events.Emit(event.CheckpointWritten, event.Subject{}, fmt.Sprintf("up to %d, %d bytes", offset, len(data)))
 			}
@@ -83,7 +84,7 @@
 	}()
 }
 
-// Leave ends this entry's life in the tables after a planned stop.
+// Leave removes this entry from the tables after a planned stop.
 func (c *Controller) Leave(ctx context.Context) error {
 	_, err := c.Publish(ctx, c.Self.ID, fleet.Record{Leave: &fleet.Leave{ID: c.Self.ID, Boot: c.Self.Boot}})
 	return err
--- a/control/controller.go
+++ b/control/controller.go
@@ -22,16 +22,16 @@
 	"rackstep.dev/serve"
 )
 
-// Seed is a peer that the settings name.
+// Seed is a peer that is named in the settings.
 type Seed struct {
 	Entry, DataCentre, Address string
 }
 
-// Controller is the control side of one entry.
+// Controller runs the control loops of one entry.
 type Controller struct {
 	// Self describes this entry.
 	Self fleet.Entry
-	// Seeds are peers to try before the tables name any.
+	// Seeds are the peers to contact before the tables are known.
 	Seeds []Seed
 	// Log is the fleet log, Claims the claims log.
 	Log, Claims *feed.Log
@@ -41,19 +41,19 @@
 	Book        *claim.Book
 	Events      *event.Ring
 	Costs       plan.Costs
-	// PeerMeter and PlatformMeter count the bytes of the links and of the platform's services; may be nil.
+	// PeerMeter and PlatformMeter count the bytes exchanged with peers and with the platform's services; may be nil.
 	PeerMeter, PlatformMeter *meter.Meter
-	// Tick is the pause between two runs of the systems; 250ms when 0.
+	// Tick is the time between two runs of the control loops; DefaultTick when 0.
 	Tick time.Duration
-	// CheckpointEvery is the time between two checkpoints; 5m when 0.
+	// CheckpointEvery is the time between two checkpoints; DefaultCheckpointEvery when 0.
 	CheckpointEvery time.Duration
-	// CheckpointRecords is the number of records after which a checkpoint is written early; 2000 when 0.
+	// CheckpointRecords is the number of records after which a checkpoint is written early; DefaultCheckpointRecords when 0.
 	CheckpointRecords int64
 	// Clock returns the platform's time.
 	Clock func() time.Time
 
-	work chan func()
-	// ctx is the context of Run; everything below belongs to the control goroutine.
+	calls chan func()
+	// ctx is the context of Run. The fields below it are used on the control goroutine only.
 	ctx      context.Context
 	tables   *fleet.Tables
 	boot     bootstrap
@@ -64,16 +64,17 @@
 	commands commands
 	tasks    tasks
 	jobs     jobIndex
-	reach    reach
-	// able are the entries that may do duties in this tick, by data centre; see ableIn.
-	able  map[string][]string
-	marks checkpointing
-	// viewed says that the view in force was made from the tables as they are, with viewedWith.
-	viewed     bool
-	viewedWith membership
-	// viewedAt is when the first view came into force, ready whether callers may come.
-	viewedAt time.Time
-	ready    bool
+	logState logState
+	// reachingLog caches the results of reachingLogIn for one tick, by data centre.
+	reachingLog     map[string][]string
+	checkpointState checkpointState
+	// viewCurrent reports that no record that affects traffic was applied since the view was built; viewMembership is the
+	// membership from which it was built.
+	viewCurrent    bool
+	viewMembership membership
+	// firstViewAt is when the first view was published; ready reports that the entry accepts callers.
+	firstViewAt time.Time
+	ready       bool
 }
 
 // Defaults of a Controller.
@@ -83,33 +84,33 @@
 	DefaultCheckpointRecords = 2000
 )
 
-// reach remembers whether the log answers, so that a change is one event.
-type reach struct {
-	log  bool
-	said bool
+// logState is whether the fleet log is reachable, and whether that has been reported by an event.
+type logState struct {
+	reachable bool
+	reported  bool
 }
 
-// ErrStopped means that control has stopped.
-var ErrStopped = errors.New("the entry is stopping; ask another entry")
+// ErrStopped is returned after the Controller has stopped.
+var ErrStopped = errors.New("the entry is stopping; retry at another entry")
 
-// Init prepares the controller; it must be called before Run and before any other method.
+// Init initialises the Controller; it must be called before any other method.
 func (c *Controller) Init() {
-	c.work = make(chan func(), 256)
+	c.calls = make(chan func(), 256)
 	c.writer.init(c)
 	c.members.byEntry = make(map[string]*member)
 	c.members.sent = make(map[string]map[string]sentStatus)
-	c.able = make(map[string][]string)
+	c.reachingLog = make(map[string][]string)
 	c.commands.init()
 	c.tasks.init()
 }
 
-// Run works until the context ends and returns its error.
+// Run runs the control loops until the context ends and returns the context's error.
 func (c *Controller) Run(ctx context.Context) error {
 	c.ctx = ctx
 	c.Events.Emit(event.EntryStarted, event.Subject{}, "data centre "+c.Self.DataCentre)
 	var group sync.WaitGroup
 	defer group.Wait()
-	group.Go(func() { c.follow(ctx) })
+	group.Go(func() { c.followFleetLog(ctx) })
 	group.Go(func() { c.followClaims(ctx) })
 	group.Go(func() { c.followList(ctx) })
 	group.Go(func() { c.writer.run(ctx) })
@@ -127,7 +128,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case f := <-c.work:
+		case f := <-c.calls:
 			f()
 		case <-ticker.C:
 			c.tick()
@@ -135,12 +136,12 @@
 	}
 }
 
-// do runs f on the control goroutine and waits for it; after an error f has not run and will not.
+// do runs f on the control goroutine and waits for its end. After an error, f has not run and will not run.
 func (c *Controller) do(ctx context.Context, f func()) error {
-	var begun atomic.Bool
+	var started atomic.Bool
 	done := make(chan struct{})
 	err := c.post(ctx, func() {
-		if begun.CompareAndSwap(false, true) {
+		if started.CompareAndSwap(false, true) {
 			f()
 			close(done)
 		}
@@ -152,34 +153,34 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		if begun.CompareAndSwap(false, true) {
+		if started.CompareAndSwap(false, true) {
 			return ctx.Err()
 		}
-		<-done // it is running
+		<-done // f is already running
 		return nil
 	}
 }
 
-// post runs f on the control goroutine some time later.
+// post queues f to run on the control goroutine.
 func (c *Controller) post(ctx context.Context, f func()) error {
 	select {
-	case c.work <- f:
+	case c.calls <- f:
 		return nil
 	case <-ctx.Done():
 		return errors.Join(ErrStopped, ctx.Err())
 	}
 }
 
-// tick runs every system once.
+// tick runs every control loop once.
 func (c *Controller) tick() {
 	now := time.Now()
-	c.writer.forget(now)
+	c.writer.expire(now)
 	c.members.expire(now)
-	clear(c.able)
-	c.link()
+	clear(c.reachingLog)
+	c.updateLinks()
 	if c.tables != nil {
 		c.observe()
-		c.admitEntries()
+		c.reconcileEntries()
 		c.execute()
 		c.runJobs()
 		c.checkpoint(now)
@@ -189,40 +190,41 @@
 	c.gossip(now)
 }
 
-// leads says whether this entry does the duty in this tick: a piece of work that one entry of the data centre does, or one
-// of all when dataCentre is empty.
-func (c *Controller) leads(duty, dataCentre string) bool {
-	return !c.Server.Stopping() && route.Owner(duty, c.ableIn(dataCentre)) == c.Self.ID
+// ownsDuty reports whether this entry does the duty in this tick. A duty is done by one entry of the data centre, or by one of
+// all entries when dataCentre is empty.
+func (c *Controller) ownsDuty(duty, dataCentre string) bool {
+	return !c.Server.Stopping() && route.Owner(duty, c.reachingLogIn(dataCentre)) == c.Self.ID
 }
 
-// liveIn returns the live entries of the data centre, or those of all when it has none.
+// liveIn returns the live entries of the data centre, or all live entries when it has none.
 func (c *Controller) liveIn(dataCentre string) []string {
-	if ids := c.members.in(c, dataCentre); len(ids) > 0 {
+	if ids := c.members.liveIn(c, dataCentre); len(ids) > 0 {
 		return ids
 	}
-	return c.members.in(c, "")
+	return c.members.liveIn(c, "")
 }
 
-// ableIn returns the live entries of the data centre that reach the log, or those of all when it is empty or has none.
-func (c *Controller) ableIn(dataCentre string) []string {
-	ids, known := c.able[dataCentre]
+// reachingLogIn returns the live entries of the data centre that reach the log, or those of all data centres when dataCentre is
+// empty or has none.
+func (c *Controller) reachingLogIn(dataCentre string) []string {
+	ids, known := c.reachingLog[dataCentre]
 	if !known {
-		ids = c.members.able(c, c.members.in(c, dataCentre))
+		ids = c.members.reachingLog(c, c.members.liveIn(c, dataCentre))
 		if len(ids) == 0 && dataCentre != "" {
-			ids = c.ableIn("")
+			ids = c.reachingLogIn("")
 		}
-		c.able[dataCentre] = ids
+		c.reachingLog[dataCentre] = ids
 	}
 	return ids
 }
 
-// ServeStream answers one stream of a peer; it is the Mesh's Serve.
+// ServeStream serves one stream that a peer opened; it is used as the Mesh's Serve function.
 func (c *Controller) ServeStream(ctx context.Context, from peer.Identity, open *peerpb.Open, s *peer.Stream) {
 	switch kind := open.Kind.(type) {
 	case *peerpb.Open_Relay:
 		c.Server.ServeRelay(ctx, kind.Relay, s)
 	case *peerpb.Open_Gossip:
-		_ = c.post(ctx, func() { c.members.merge(kind.Gossip, from.Entry, time.Now()) }) // a lost one comes again
+		_ = c.post(ctx, func() { c.members.merge(kind.Gossip, from.Entry, time.Now()) }) // a lost status is sent again
 	case *peerpb.Open_CatchUp:
 		c.serveCatchUp(ctx, kind.CatchUp, s)
 	case *peerpb.Open_Events:
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,25 +1,25 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package control owns an entry's tables and runs the systems over them.
+Package control owns an entry's tables and runs the control loops over them.
 
-One goroutine does all of it. Records from the log, statuses from peers and
-answers from the platform arrive as functions that run on that goroutine. On
-each tick every system looks at the whole current state and decides what is to
-be done now; a system keeps no state that a restart would miss:
+All control loops run on one goroutine. Records from the log, statuses from
+peers and responses of the platform are passed to it as functions. On each
+tick, every loop examines the whole current state and decides what has to be
+done; no loop keeps state that would be missed after a restart:
 
-  - observe: writes to the log what the instance list says and the tables do not
-  - members: joins this entry, removes entries that are gone
-  - execute: moves confirmed plans on
+  - observe: writes differences between the instance list and the tables to the log
+  - members: joins this entry and removes terminated entries
+  - execute: advances confirmed plans
   - jobs: starts, follows and stops jobs
-  - checkpoint: carries the tables forward in the log
-  - gossip: tells peers what this entry has folded
+  - checkpoint: writes the tables to the log
+  - gossip: sends this entry's status to peers
 
-Each duty is done by one entry at a time, chosen by rendezvous hashing among
-the live ones. That only saves work: two entries that do the same duty write
-records of which the fold admits one.
+Each duty is done by one entry at a time, selected by rendezvous hashing among
+the live entries. This only saves work: when two entries do the same duty, the
+tables accept only one of their records.
 
-Traffic never waits for control. It follows a serve.View, which control makes
-anew when the tables have changed in a way that matters to it.
+Requests never wait for control. They are routed by a serve.View, which control
+replaces when a change of the tables or the membership affects routing.
 */
 package control
--- a/control/tell.go
+++ b/control/events.go
@@ -15,48 +15,49 @@
 	"rackstep.dev/peer/peerpb"
 )
 
-// tell turns a folded record into an event; only the record's writer does, so that it is told once.
-func (c *Controller) tell(r fleet.Record, refusal *fleet.Refusal) {
+// emitRecordEvent emits the events of an applied record. Only the entry that wrote the record does so, so that each event is
+// emitted once in the fleet.
+func (c *Controller) emitRecordEvent(r fleet.Record, refusal *fleet.Refusal) {
 	if r.Writer != c.Self.ID {
 		return
 	}
 	if refusal != nil {
-		c.Events.Emit(event.RecordRefused, subject(r), refusal.Error())
+		c.Events.Emit(event.RecordRefused, recordSubject(r), refusal.Error())
 		return
 	}
 	switch {
 	case r.Join != nil:
-		c.Events.Emit(event.EntryJoined, subject(r), "")
+		c.Events.Emit(event.EntryJoined, recordSubject(r), "")
 	case r.Leave != nil:
-		c.Events.Emit(event.EntryGone, subject(r), "")
+		c.Events.Emit(event.EntryGone, recordSubject(r), "")
 	case r.Observe != nil:
 		for _, o := range r.Observe.Instances {
-			c.Events.Emit(event.InstanceChanged, event.Subject{Instance: o.ID}, observed(o))
+			c.Events.Emit(event.InstanceChanged, event.Subject{Instance: o.ID}, observationText(o))
 		}
 	case r.Propose != nil:
-		c.Events.Emit(event.PlanProposed, subject(r), "by "+r.By)
+		c.Events.Emit(event.PlanProposed, recordSubject(r), "by "+r.By)
 	case r.Control != nil:
-		c.Events.Emit(event.PlanOrdered, subject(r), string(r.Control.Order)+" by "+r.By)
+		c.Events.Emit(event.PlanOrdered, recordSubject(r), string(r.Control.Order)+" by "+r.By)
 	case r.Advance != nil:
-		c.tellAdvance(r)
+		c.emitAdvanceEvents(r)
 	case r.Submit != nil:
-		c.Events.Emit(event.JobSubmitted, subject(r), "team "+r.Submit.Team)
+		c.Events.Emit(event.JobSubmitted, recordSubject(r), "team "+r.Submit.Team)
 	case r.Start != nil:
-		c.Events.Emit(event.JobStarting, subject(r), fmt.Sprintf("attempt %d", r.Start.Attempt))
+		c.Events.Emit(event.JobStarting, recordSubject(r), fmt.Sprintf("attempt %d", r.Start.Attempt))
 	case r.Settle != nil:
-		c.tellSettle(r)
+		c.emitSettleEvents(r)
 	case r.Park != nil:
-		c.Events.Emit(event.JobParked, subject(r), r.Park.Note)
+		c.Events.Emit(event.JobParked, recordSubject(r), r.Park.Note)
 	case r.Yield != nil:
-		c.Events.Emit(event.JobYielding, subject(r), "")
+		c.Events.Emit(event.JobYielding, recordSubject(r), "")
 	case r.Measure != nil:
-		c.Events.Emit(event.JobMeasured, subject(r), fmt.Sprintf("%d cores, %d MB", r.Measure.Cores, r.Measure.MemoryMB))
+		c.Events.Emit(event.JobMeasured, recordSubject(r), fmt.Sprintf("%d cores, %d MB", r.Measure.Cores, r.Measure.MemoryMB))
 	case r.Throttle != nil:
-		c.Events.Emit(event.JobThrottled, subject(r), throttled(*r.Throttle))
+		c.Events.Emit(event.JobThrottled, recordSubject(r), throttleText(*r.Throttle))
 	}
 }
 
-func subject(r fleet.Record) event.Subject {
+func recordSubject(r fleet.Record) event.Subject {
 	switch {
 	case r.Join != nil:
 		return event.Subject{Entry: r.Join.Entry.ID}
@@ -88,14 +89,14 @@
 	return event.Subject{}
 }
 
-func throttled(t fleet.Throttle) string {
+func throttleText(t fleet.Throttle) string {
 	if t.Cores == 0 {
 		return "it may use all again"
 	}
 	return fmt.Sprintf("held to %d cores", t.Cores)
 }
 
-func observed(o fleet.Observation) string {
+func observationText(o fleet.Observation) string {
 	switch {
 	case o.Down:
 		return "down"
@@ -105,14 +106,14 @@
 	return "live"
 }
 
-func (c *Controller) tellAdvance(r fleet.Record) {
-	c.Events.Emit(event.StepAdvanced, subject(r), string(r.Advance.To))
+func (c *Controller) emitAdvanceEvents(r fleet.Record) {
+	c.Events.Emit(event.StepAdvanced, recordSubject(r), string(r.Advance.To))
 	if p := c.tables.Plans.Get(r.Advance.Plan); p != nil && !p.Active() {
 		c.Events.Emit(event.PlanEnded, event.Subject{Plan: p.ID}, string(p.State))
 	}
 }
 
-func (c *Controller) tellSettle(r fleet.Record) {
+func (c *Controller) emitSettleEvents(r fleet.Record) {
 	j := c.tables.Jobs.Get(r.Settle.Job)
 	if j == nil {
 		return
@@ -132,20 +133,20 @@
 
 // serveEvents sends a peer this entry's events about a subject.
 func (c *Controller) serveEvents(q *peerpb.EventsQuery, s *peer.Stream) {
-	about := event.Subject{Plan: q.Plan, Instance: q.Instance, Job: q.Job, Request: q.Request}
+	subject := event.Subject{Plan: q.Plan, Instance: q.Instance, Job: q.Job, Request: q.Request}
 	var answer peerpb.EventsAnswer
 	for _, e := range c.Events.Since(0) {
-		if !e.Matches(about) {
+		if !e.Matches(subject) {
 			continue
 		}
 		if b, err := json.Marshal(e); err == nil {
 			answer.Events = append(answer.Events, b)
 		}
 	}
-	_ = s.Send(&answer) // a peer that has gone asks again
+	_ = s.Send(&answer) // a peer that didn't receive it retries
 }
 
-// TimeLine returns the events about the subject of every entry that can be reached, and the entries that could not.
+// TimeLine returns the events about the subject from all reachable entries, and the live entries that could not be reached.
 func (c *Controller) TimeLine(ctx context.Context, about event.Subject) (events []event.Event, unreached []string) {
 	for _, e := range c.Events.Since(0) {
 		if e.Matches(about) {
@@ -154,15 +155,15 @@
 	}
 	up := c.Mesh.Up()
 	for _, entry := range up {
-		more, err := c.askEvents(ctx, entry, about)
+		more, err := c.requestEvents(ctx, entry, about)
 		if err != nil {
 			unreached = append(unreached, entry)
 			continue
 		}
 		events = append(events, more...)
 	}
-	_ = c.do(ctx, func() { // an entry that stops answers with what it has
-		for _, id := range c.members.in(c, "") {
+	_ = c.do(ctx, func() { // when the entry stops, the result lacks these entries
+		for _, id := range c.members.liveIn(c, "") {
 			if id != c.Self.ID && !slices.Contains(up, id) {
 				unreached = append(unreached, id)
 			}
@@ -172,7 +173,7 @@
 	return events, unreached
 }
 
-func (c *Controller) askEvents(ctx context.Context, entry string, about event.Subject) ([]event.Event, error) {
+func (c *Controller) requestEvents(ctx context.Context, entry string, about event.Subject) ([]event.Event, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	q := &peerpb.EventsQuery{Plan: about.Plan, Instance: about.Instance, Job: about.Job, Request: about.Request}
--- a/control/execute.go
+++ b/control/execute.go
@@ -14,51 +14,51 @@
 	"rackstep.dev/provider"
 )
 
-// commands remembers what the platform said of the commands of acting steps.
+// commands tracks the platform's commands for plan steps that are being carried out.
 type commands struct {
-	facts  map[string]plan.CommandFact
-	asking map[string]bool
-	// held are the reasons told already, by instance.
-	held map[string]string
+	facts    map[string]plan.CommandFact
+	inFlight map[string]bool
+	// holdReasons are the reasons for held steps that were last reported by an event, by instance.
+	holdReasons map[string]string
 }
 
 func (m *commands) init() {
 	m.facts = make(map[string]plan.CommandFact)
-	m.asking = make(map[string]bool)
-	m.held = make(map[string]string)
+	m.inFlight = make(map[string]bool)
+	m.holdReasons = make(map[string]string)
 }
 
-// commandTime is how long after its sending a command may still begin.
-const commandTime = 30 * time.Second
+// commandStartWindow is how long after it was sent a command may still start.
+const commandStartWindow = 30 * time.Second
 
-// execute moves every active plan on that this entry leads.
+// execute advances every active plan whose duty this entry owns.
 func (c *Controller) execute() {
-	c.dropCommands()
+	c.pruneCommands()
 	active := false
 	for id, p := range c.tables.Plans.All {
-		if !p.Active() || !c.leads("plan/"+id, "") {
+		if !p.Active() || !c.ownsDuty("plan/"+id, "") {
 			continue
 		}
 		for _, d := range plan.Next(c.tables, p, c.facts()) {
-			c.carryOut(p, d)
+			c.applyDecision(p, d)
 		}
 		active = true
 	}
 	if !active {
-		clear(c.commands.held)
+		clear(c.commands.holdReasons)
 	}
 }
 
 func (c *Controller) facts() plan.Facts {
 	return plan.Facts{
 		Acknowledged: func(in *fleet.Instance) []string { return c.members.acknowledged(c, in.ID, in.DrainOffset) },
-		Missing:      c.missing,
-		Command:      c.command,
+		Missing:      c.unacknowledged,
+		Command:      c.commandFact,
 	}
 }
 
-// missing returns an entry that the platform lists and that has not acknowledged the drain.
-func (c *Controller) missing(in *fleet.Instance) string {
+// unacknowledged returns an entry that the platform lists and that has not acknowledged the drain, or an empty string.
+func (c *Controller) unacknowledged(in *fleet.Instance) string {
 	acks := c.members.acknowledged(c, in.ID, in.DrainOffset)
 	for id, row := range c.list.rows {
 		if row.Role != provider.RoleEntry {
@@ -67,7 +67,7 @@
 		e := c.tables.Entries.Get(id)
 		switch {
 		case e == nil && c.members.byEntry[id] == nil:
-			return id // it runs and has not joined: it may have taken old tables from a peer
+			return id // it runs but has not joined, and may have got tables from a peer that are older than the drain
 		case e != nil && e.Joined < in.DrainOffset && !slices.Contains(acks, id):
 			return id
 		}
@@ -75,11 +75,11 @@
 	return ""
 }
 
-// command returns what the platform said of the command and asks again for one that is not finished.
-func (c *Controller) command(id string) plan.CommandFact { return c.commands.facts[id] }
+// commandFact returns the state of the command as last reported by the platform.
+func (c *Controller) commandFact(id string) plan.CommandFact { return c.commands.facts[id] }
 
-// dropCommands forgets commands of instances that are no longer acting.
-func (c *Controller) dropCommands() {
+// pruneCommands removes the commands of instances that are no longer acting.
+func (c *Controller) pruneCommands() {
 	if len(c.commands.facts) == 0 {
 		return
 	}
@@ -96,40 +96,42 @@
 	}
 }
 
-func (c *Controller) carryOut(p *fleet.Plan, d plan.Decision) {
+// applyDecision writes an advance, sends a command, or reports a held step.
+func (c *Controller) applyDecision(p *fleet.Plan, d plan.Decision) {
 	switch {
 	case d.Advance != nil:
 		a := d.Advance
-		delete(c.commands.held, a.Instance)
+		delete(c.commands.holdReasons, a.Instance)
 		c.write(fmt.Sprintf("advance/%s/%s/%s/%d", a.Plan, a.Instance, a.To, a.Generation), fleet.Record{Advance: a})
 	case d.Command != nil:
-		c.send(p, *d.Command)
+		c.sendCommand(p, *d.Command)
 	case d.Held != nil:
-		if c.commands.held[d.Held.Instance] != d.Held.Reason {
-			c.commands.held[d.Held.Instance] = d.Held.Reason
+		if c.commands.holdReasons[d.Held.Instance] != d.Held.Reason {
+			c.commands.holdReasons[d.Held.Instance] = d.Held.Reason
 			c.Events.Emit(event.StepHeld, event.Subject{Plan: p.ID, Instance: d.Held.Instance}, d.Held.Reason)
 		}
 	}
 }
 
-// send asks the platform for the command; the answer comes back as a fact. The same ID runs once.
-func (c *Controller) send(p *fleet.Plan, cmd plan.Command) {
-	if c.commands.asking[cmd.ID] {
+// sendCommand sends the command to the platform, which runs each command ID at most once. The result becomes a fact of
+// plan.Next.
+func (c *Controller) sendCommand(p *fleet.Plan, cmd plan.Command) {
+	if c.commands.inFlight[cmd.ID] {
 		return
 	}
-	c.commands.asking[cmd.ID] = true
+	c.commands.inFlight[cmd.ID] = true
 	verb := provider.VerbReboot
 	if cmd.Action == fleet.ActionStop {
 		verb = provider.VerbStop
 	}
 	about := event.Subject{Plan: p.ID, Instance: cmd.Instance}
 	c.Events.Emit(event.CommandSent, about, cmd.ID)
-	notAfter := c.Clock().Add(commandTime)
-	go c.ask(c.ctx, cmd, provider.Command{Verb: verb, NotAfter: notAfter}, about)
+	notAfter := c.Clock().Add(commandStartWindow)
+	go c.runCommand(c.ctx, cmd, provider.Command{Verb: verb, NotAfter: notAfter}, about)
 }
 
-// ask sends the command and follows it until its end is known.
-func (c *Controller) ask(ctx context.Context, cmd plan.Command, order provider.Command, about event.Subject) {
+// runCommand sends the command and polls the platform until the command has ended.
+func (c *Controller) runCommand(ctx context.Context, cmd plan.Command, order provider.Command, about event.Subject) {
 	state, err := c.Platform.Run(ctx, cmd.Instance, cmd.ID, order)
 	if err != nil {
 		c.Events.Emit(event.CommandUncertain, about, err.Error())
@@ -141,13 +143,13 @@
 		}
 		state, err = c.Platform.Command(ctx, cmd.Instance, cmd.ID)
 	}
-	_ = c.post(ctx, func() { // it fails only when the entry stops
-		delete(c.commands.asking, cmd.ID)
-		c.commands.facts[cmd.ID] = commandFact(state)
+	_ = c.post(ctx, func() { // post fails only when the entry stops
+		delete(c.commands.inFlight, cmd.ID)
+		c.commands.facts[cmd.ID] = commandFactOf(state)
 	})
 }
 
-func commandFact(s provider.CommandState) plan.CommandFact {
+func commandFactOf(s provider.CommandState) plan.CommandFact {
 	switch s {
 	case provider.CommandRunning:
 		return plan.CommandRunning
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -14,12 +14,12 @@
 	"rackstep.dev/peer/peerpb"
 )
 
-// status returns what this entry says about itself.
+// status returns this entry's status for its peers.
 func (c *Controller) status() *peerpb.Status {
 	s := &peerpb.Status{
 		Entry: c.Self.ID, DataCentre: c.Self.DataCentre, Boot: c.Self.Boot, PeerAddress: c.Self.PeerAddress,
 		OperatorAddress: c.Self.OperatorAddress, CallerAddress: c.Self.CallerAddress,
-		Stopping: c.Server.Stopping(), LogReachable: c.reach.log, Offset: -1,
+		Stopping: c.Server.Stopping(), LogReachable: c.logState.reachable, Offset: -1,
 	}
 	if c.tables == nil {
 		return s
@@ -27,7 +27,7 @@
 	live, _ := c.members.neighbours(c)
 	s.Members = membersHash(live)
 	s.Version = c.tables.Version
-	if v := c.Server.View(); v != nil && c.viewed {
+	if v := c.Server.View(); v != nil && c.viewCurrent {
 		s.Offset = c.tables.Offset
 	}
 	for id, n := range c.Server.Held() {
@@ -37,13 +37,14 @@
 	return s
 }
 
-// gossip sends this entry's status to the linked peers, and to neighbours what it hears directly from elsewhere.
+// gossip sends this entry's status to the linked peers. To the peers of its own data centre it also relays the statuses that it
+// received directly from entries of other data centres.
 func (c *Controller) gossip(now time.Time) {
 	draining := c.anyDraining()
 	own := c.status()
 	if old := c.members.own; old != nil {
 		own.Sequence = old.Sequence
-		if !proto.Equal(own, old) || now.Sub(c.members.byEntry[c.Self.ID].heard) >= heartbeat {
+		if !proto.Equal(own, old) || now.Sub(c.members.byEntry[c.Self.ID].heardAt) >= heartbeat {
 			own.Sequence++
 		} else {
 			own = old
@@ -51,13 +52,14 @@
 	}
 	if own != c.members.own {
 		c.members.own = own
-		c.members.byEntry[c.Self.ID] = &member{status: own, heard: now}
+		c.members.byEntry[c.Self.ID] = &member{status: own, heardAt: now}
 	}
 	for _, p := range c.Mesh.Up() {
 		c.gossipTo(p, now, draining)
 	}
 }
 
+// anyDraining reports whether any instance is draining.
 func (c *Controller) anyDraining() bool {
 	if c.tables == nil {
 		return false
@@ -70,8 +72,8 @@
 	return false
 }
 
-// gossipTo sends what is due to one peer. Statuses of other data centres are passed on to neighbours only, and only
-// by the entry that heard them from their source, so that none goes in circles.
+// gossipTo sends the statuses that are due to one peer. Statuses of other data centres are relayed only within this data centre,
+// and only by the entry that received them from their source, so that they don't circulate.
 func (c *Controller) gossipTo(to string, now time.Time, draining bool) {
 	sent := c.members.sent[to]
 	if sent == nil {
@@ -79,26 +81,26 @@
 		c.members.sent[to] = sent
 	}
 	peer := c.members.byEntry[to]
-	near := peer != nil && peer.status.DataCentre == c.Self.DataCentre
+	local := peer != nil && peer.status.DataCentre == c.Self.DataCentre
 	var g peerpb.Gossip
 	for id, e := range c.members.byEntry {
-		every, pause := farHeartbeat, farPause
+		interval, minInterval := remoteHeartbeat, minRemoteInterval
 		switch {
-		case id == c.Self.ID && near:
-			every, pause = heartbeat, nearPause
+		case id == c.Self.ID && local:
+			interval, minInterval = heartbeat, minStatusInterval
 		case id == c.Self.ID:
-		case !near || e.from != id || e.status.DataCentre == c.Self.DataCentre:
+		case !local || e.receivedFrom != id || e.status.DataCentre == c.Self.DataCentre:
 			continue
 		default:
-			every, pause = passHeartbeat, passPause
+			interval, minInterval = relayHeartbeat, minRelayInterval
 		}
 		last := sent[id]
 		age := now.Sub(last.at)
-		if last.status != nil && (last.status.Sequence == e.status.Sequence || age < pause ||
-			(age < every && sameStatus(last.status, e.status, draining))) {
+		if last.status != nil && (last.status.Sequence == e.status.Sequence || age < minInterval ||
+			(age < interval && equivalentStatus(last.status, e.status, draining))) {
 			continue
 		}
-		g.Statuses = append(g.Statuses, shorten(e.status, last.status))
+		g.Statuses = append(g.Statuses, omitKnownAddresses(e.status, last.status))
 		sent[id] = sentStatus{e.status, now}
 	}
 	if len(g.Statuses) > 0 {
@@ -106,12 +108,12 @@
 	}
 }
 
-// fullEvery is the number of short statuses after which a full one is sent, in case the peer began anew.
-const fullEvery = 16
+// fullStatusInterval is the number of sequence numbers after which a full status is sent, in case the peer has restarted.
+const fullStatusInterval = 16
 
-// shorten leaves out the addresses that the peer has been sent.
-func shorten(s, last *peerpb.Status) *peerpb.Status {
-	if last == nil || last.Boot != s.Boot || s.Sequence/fullEvery != last.Sequence/fullEvery {
+// omitKnownAddresses returns the status without its addresses if the peer has been sent them.
+func omitKnownAddresses(s, last *peerpb.Status) *peerpb.Status {
+	if last == nil || last.Boot != s.Boot || s.Sequence/fullStatusInterval != last.Sequence/fullStatusInterval {
 		return s
 	}
 	short := proto.CloneOf(s)
@@ -124,13 +126,14 @@
 	go func() {
 		defer cancel()
 		if s, err := c.Mesh.Open(ctx, to, &peerpb.Open{Kind: &peerpb.Open_Gossip{Gossip: g}}); err == nil {
-			s.Release() // there is no answer
+			s.Release() // gossip has no response
 		}
 	}()
 }
 
-// sameStatus compares what matters of two statuses to others; offsets matter only while instances drain.
-func sameStatus(a, b *peerpb.Status, draining bool) bool {
+// equivalentStatus reports whether two statuses differ only in what need not be sent early: the sequence, and the offset unless
+// an instance is draining or the version differs.
+func equivalentStatus(a, b *peerpb.Status, draining bool) bool {
 	x := proto.CloneOf(a)
 	x.Sequence = b.Sequence
 	if !draining && x.Version == b.Version {
--- a/control/hold.go
+++ b/control/hold.go
@@ -11,31 +11,31 @@
 	"rackstep.dev/provider"
 )
 
-// hold is a call that renews the leases of what runs on one instance and waits until something ends there.
+// hold is a long-poll call that renews the leases of the tasks on one instance and waits until one of them ends.
 type hold struct {
-	// tasks are the attempts that the call names, with their limits.
+	// tasks holds the attempts that the call names, with their limits.
 	tasks  map[string]provider.HoldTask
-	cancel context.CancelFunc // nil when no call is under way
-	// calls counts the calls, so that the answer of an earlier one is told from the present one's.
+	cancel context.CancelFunc // nil when no call is in flight
+	// calls counts the calls, to distinguish the response of an earlier call from that of the current one.
 	calls int
 	// due is when the next call may be made.
 	due time.Time
-	// failed counts the calls in a row that had no answer.
-	failed int
+	// failures counts consecutive failed calls.
+	failures int
 }
 
 const (
-	// firstWait is how long the platform may wait for an end when an attempt has just begun, so that its usage is known
-	// soon; the wait grows with the attempt's age up to holdWait. Leases are renewed that often.
-	firstWait = 2 * time.Second
-	holdWait  = 20 * time.Second
-	// holdPause is the pause after a call that told of an end, and after the first that failed; it doubles with each further
-	// one up to longestHoldPause.
-	holdPause        = time.Second
-	longestHoldPause = 8 * time.Second
+	// minHoldWait is how long a call may wait when an attempt has just started, so that its usage is known early. The wait
+	// grows with the attempt's age up to maxHoldWait. Each call renews the leases, so the wait is also the renewal interval.
+	minHoldWait = 2 * time.Second
+	maxHoldWait = 20 * time.Second
+	// minHoldPause is the pause after a call that reported the end of a task, and after the first failed call. It doubles with
+	// each further failure up to maxHoldPause.
+	minHoldPause = time.Second
+	maxHoldPause = 8 * time.Second
 )
 
-// hold keeps one call under way that names just the running jobs.
+// hold keeps one call in flight that names exactly the running jobs.
 func (c *Controller) hold(instance string, running []*fleet.Job) {
 	h := c.tasks.holds[instance]
 	if h == nil {
@@ -45,8 +45,8 @@
 		h = &hold{}
 		c.tasks.holds[instance] = h
 	}
-	if !h.names(running) {
-		h.end()
+	if !h.matches(running) {
+		h.abort()
 		h.tasks = make(map[string]provider.HoldTask, len(running))
 		for _, j := range running {
 			h.tasks[attemptID(j)] = provider.HoldTask{Limit: j.Limit}
@@ -58,21 +58,21 @@
 	c.callHold(instance, h, running)
 }
 
-// holdWait returns how long a call about the jobs may wait: as long as the youngest of them has run, within bounds.
+// maxHoldWait returns how long a call for the jobs may wait: the run time of the youngest, between minHoldWait and maxHoldWait.
 func (m *tasks) holdWait(running []*fleet.Job, now time.Time) time.Duration {
-	wait := holdWait
+	wait := maxHoldWait
 	for _, j := range running {
-		u := m.seen[attemptID(j)]
+		u := m.usage[attemptID(j)]
 		if u == nil {
-			return firstWait
+			return minHoldWait
 		}
 		wait = min(wait, u.ran(now))
 	}
-	return max(firstWait, wait)
+	return max(minHoldWait, wait)
 }
 
-// names says whether the call names the jobs with their limits and no other.
-func (h *hold) names(running []*fleet.Job) bool {
+// matches reports whether the call names exactly these jobs with their current limits.
+func (h *hold) matches(running []*fleet.Job) bool {
 	if len(h.tasks) != len(running) {
 		return false
 	}
@@ -84,14 +84,15 @@
 	return true
 }
 
-// end gives up the call that is under way.
-func (h *hold) end() {
+// abort cancels the call in flight.
+func (h *hold) abort() {
 	if h.cancel != nil {
 		h.cancel()
 		h.cancel = nil
 	}
 }
 
+// callHold makes a hold call for the instance in the background.
 func (c *Controller) callHold(instance string, h *hold, running []*fleet.Job) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	h.cancel = cancel
@@ -105,42 +106,42 @@
 	go func() {
 		defer cancel()
 		reports, err := c.Platform.Hold(ctx, instance, order)
-		_ = c.post(c.ctx, func() { // it fails only when the entry stops
-			if h.cancel != nil && h.calls == call { // else it was given up
-				c.holdSays(instance, h, jobs, reports, err)
+		_ = c.post(c.ctx, func() { // post fails only when the entry stops
+			if h.cancel != nil && h.calls == call { // otherwise the call was aborted
+				c.handleHoldReports(instance, h, jobs, reports, err)
 			}
 		})
 	}()
 }
 
-// holdSays passes the reports on, and makes the next call soon when none has ended.
-func (c *Controller) holdSays(instance string, h *hold, jobs []fleet.Job, reports map[string]provider.TaskReport, err error) {
+// handleHoldReports handles the report on each job. Unless a task has ended, the next call is made at the next tick.
+func (c *Controller) handleHoldReports(instance string, h *hold, jobs []fleet.Job, reports map[string]provider.TaskReport, err error) {
 	h.cancel = nil
 	if err != nil {
-		h.due = time.Now().Add(min(longestHoldPause, holdPause<<min(h.failed, 8)))
-		if h.failed++; h.failed == 1 {
+		h.due = time.Now().Add(min(maxHoldPause, minHoldPause<<min(h.failures, 8)))
+		if h.failures++; h.failures == 1 {
 			c.Events.Emit(event.TaskUncertain, event.Subject{Instance: instance}, err.Error())
 		}
 		return
 	}
-	h.failed = 0
+	h.failures = 0
 	for i := range jobs {
 		id := attemptID(&jobs[i])
-		report, told := reports[id]
-		if !told || report.State != provider.TaskRunning {
-			h.due = time.Now().Add(holdPause) // until the tables know of the end
+		report, reported := reports[id]
+		if !reported || report.State != provider.TaskRunning {
+			h.due = time.Now().Add(minHoldPause) // the tables need time to record the end
 		}
-		if told {
-			c.taskSays(id, jobs[i], report, nil)
+		if reported {
+			c.handleTaskReport(id, jobs[i], report, nil)
 		}
 	}
 }
 
-// dropHolds gives up the calls about instances that are not this entry's to follow.
+// dropHolds aborts the calls for instances that this entry does not follow.
 func (c *Controller) dropHolds(followed map[string]bool) {
 	for id, h := range c.tasks.holds {
 		if !followed[id] {
-			h.end()
+			h.abort()
 			delete(c.tasks.holds, id)
 		}
 	}
--- a/control/links.go
+++ b/control/links.go
@@ -10,29 +10,30 @@
 	"rackstep.dev/route"
 )
 
-// link keeps links to the entries of this data centre and a few to each other one.
-func (c *Controller) link() {
-	far := make(map[string][]peer.Address)
-	var near []peer.Address
+// updateLinks keeps links to all entries of this data centre and to a few entries of each other data centre.
+func (c *Controller) updateLinks() {
+	remote := make(map[string][]peer.Address)
+	var peers []peer.Address
 	add := func(id, dataCentre, address string) {
 		switch {
 		case id == c.Self.ID || address == "":
 		case dataCentre == c.Self.DataCentre:
-			near = append(near, peer.Address{Entry: id, Address: address})
+			peers = append(peers, peer.Address{Entry: id, Address: address})
 		default:
-			far[dataCentre] = append(far[dataCentre], peer.Address{Entry: id, Address: address})
+			remote[dataCentre] = append(remote[dataCentre], peer.Address{Entry: id, Address: address})
 		}
 	}
 	for id, a := range c.peerAddresses() {
 		add(id, a.DataCentre, a.Address)
 	}
-	for _, list := range far {
-		near = append(near, c.nearest(list)...)
+	for _, list := range remote {
+		peers = append(peers, c.chooseRemotePeers(list)...)
 	}
-	c.Mesh.SetPeers(c.ctx, near)
+	c.Mesh.SetPeers(c.ctx, peers)
 }
 
-// peerAddresses returns every entry that may be alive; what an entry says of itself goes before the tables and the seeds.
+// peerAddresses returns all entries that may be live. An entry's own status takes precedence over the tables, and the tables over
+// the seeds.
 func (c *Controller) peerAddresses() map[string]Seed {
 	all := make(map[string]Seed)
 	for _, s := range c.Seeds {
@@ -45,15 +46,15 @@
 	}
 	now := time.Now()
 	for id, e := range c.members.byEntry {
-		if now.Sub(e.heard) < farLiveFor {
+		if now.Sub(e.heardAt) < remoteLiveTimeout {
 			all[id] = Seed{Entry: id, DataCentre: e.status.DataCentre, Address: e.status.PeerAddress}
 		}
 	}
 	return all
 }
 
-// nearest picks the entries of one other data centre that this entry links to; live ones first.
-func (c *Controller) nearest(list []peer.Address) []peer.Address {
+// chooseRemotePeers selects the entries of one other data centre to which this entry links, preferring live ones.
+func (c *Controller) chooseRemotePeers(list []peer.Address) []peer.Address {
 	now := time.Now()
 	ids := make([]string, 0, len(list))
 	byID := make(map[string]peer.Address, len(list))
@@ -62,7 +63,7 @@
 		ids = append(ids, a.Entry)
 	}
 	var chosen []peer.Address
-	for len(ids) > 0 && len(chosen) < crossLinks {
+	for len(ids) > 0 && len(chosen) < linksPerDataCentre {
 		live := slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return !c.members.live(c, id, now) })
 		if len(live) == 0 {
 			live = ids
--- a/control/observe.go
+++ b/control/observe.go
@@ -11,27 +11,28 @@
 	"rackstep.dev/provider"
 )
 
-// listing is the latest answer of the platform's instance list.
+// listing is the state derived from the platform's instance list.
 type listing struct {
 	rows map[string]provider.Listed
-	// last is the latest answer, believed or not.
-	last []provider.Listed
-	// seen are the lives of entries that the list has shown; unseen is since when it has not shown a joined one.
-	seen   map[life]bool
-	unseen map[life]time.Time
-	// changes counts the answers that differed in what concerns routing.
-	changes uint64
-	ok      bool
-	said    bool
-	// doubted counts the answers in a row that lacked more than half of the rows.
-	doubted int
+	// latest is the latest response, whether it was plausible or not.
+	latest []provider.Listed
+	// seen holds the incarnations of entries that the list has contained; unseen holds since when it has lacked a joined one.
+	seen   map[incarnation]bool
+	unseen map[incarnation]time.Time
+	// changes counts the accepted responses that differed in a way that affects routing.
+	changes  uint64
+	ok       bool
+	reported bool
+	// implausible counts consecutive responses that lacked more than half of the known instances.
+	implausible int
 }
 
-// doubtsToBelieve is the number of answers in a row that must agree before most instances count as gone.
-const doubtsToBelieve = 3
+// confirmationsNeeded is the number of consecutive responses that must lack more than half of the known instances before one is
+// accepted.
+const confirmationsNeeded = 3
 
-// believable says whether the answer may replace the one before it.
-func (l *listing) believable(fresh map[string]provider.Listed) bool {
+// plausible reports whether the response may replace the previous one.
+func (l *listing) plausible(fresh map[string]provider.Listed) bool {
 	kept := 0
 	for id := range l.rows {
 		if _, ok := fresh[id]; ok {
@@ -39,21 +40,21 @@
 		}
 	}
 	if 2*kept >= len(l.rows) {
-		l.doubted = 0
+		l.implausible = 0
 		return true
 	}
-	l.doubted++
-	return l.doubted >= doubtsToBelieve
+	l.implausible++
+	return l.implausible >= confirmationsNeeded
 }
 
-// life is one run of an entry instance.
-type life struct{ entry, boot string }
+// incarnation identifies one run of an entry process.
+type incarnation struct{ entry, boot string }
 
 // listPeriod is the time between two reads of the instance list.
 const listPeriod = time.Second
 
-// gone says that the list shows the instance as leaving or no longer shows it; it may be ahead of the tables.
-func (l *listing) gone(id string) bool {
+// goneOrLeaving reports whether the list lacks the instance or marks it as leaving. The list may be newer than the tables.
+func (l *listing) goneOrLeaving(id string) bool {
 	if l.rows == nil {
 		return false
 	}
@@ -61,14 +62,16 @@
 	return !ok || row.Leaving
 }
 
-// A whole list is followed by a pause, so that it costs no more than this on average, in bytes a second.
+// The pause after each read of the list grows with the size of the list, so that reading costs at most listBytesPerSecond on
+// average.
 const (
-	listBudget      = 4000
-	listedBytes     = 140 // one instance
-	compressedBytes = 14  // one instance of a compressed list
-	longestList     = 15 * time.Second
+	listBytesPerSecond         = 4000
+	bytesPerInstance           = 140
+	bytesPerCompressedInstance = 14
+	maxListPause               = 15 * time.Second
 )
 
+// followList reads the platform's instance list until the context ends.
 func (c *Controller) followList(ctx context.Context) {
 	tag := ""
 	for ctx.Err() == nil {
@@ -76,56 +79,58 @@
 		if err == nil {
 			tag = list.Tag
 		}
-		_ = c.post(ctx, func() { c.listed(list, err) }) // it fails only when the entry stops
+		_ = c.post(ctx, func() { c.handleList(list, err) }) // post fails only when the entry stops
 		sleep(ctx, listPause(list))
 	}
 }
 
-// listPause is the time to the next read of the list.
+// listPause returns the time until the next read of the list.
 func listPause(l provider.List) time.Duration {
-	each := listedBytes
+	each := bytesPerInstance
 	if l.Compressed {
-		each = compressedBytes
+		each = bytesPerCompressedInstance
 	}
-	paced := time.Duration(len(l.Instances)*each) * time.Second / listBudget
-	return min(longestList, max(listPeriod, paced))
+	paced := time.Duration(len(l.Instances)*each) * time.Second / listBytesPerSecond
+	return min(maxListPause, max(listPeriod, paced))
 }
 
-func (c *Controller) listed(list provider.List, err error) {
-	c.listReached(err == nil)
+// handleList handles a response of the instance list, or the error of reading it.
+func (c *Controller) handleList(list provider.List, err error) {
+	c.setPlatformReachable(err == nil)
 	if err != nil {
-		return // an old list is better than none: it says nothing of instances that came or went since
+		return // the previous list stays in use; it only lacks the changes since
 	}
 	rows := list.Instances
 	if list.Unchanged {
-		if c.list.last == nil {
+		if c.list.latest == nil {
 			return
 		}
-		rows = c.list.last
+		rows = c.list.latest
 	}
-	c.list.last = rows
-	fresh := make(map[string]provider.Listed, len(rows))
+	c.list.latest = rows
+	byID := make(map[string]provider.Listed, len(rows))
 	for _, r := range rows {
-		fresh[r.ID] = r
+		byID[r.ID] = r
 	}
-	if !c.list.believable(fresh) {
+	if !c.list.plausible(byID) {
 		return
 	}
-	if c.list.differs(fresh) {
+	if c.list.differs(byID) {
 		c.list.changes++
 	}
-	c.list.rows = fresh
+	c.list.rows = byID
 	if c.list.seen == nil {
-		c.list.seen = make(map[life]bool)
-		c.list.unseen = make(map[life]time.Time)
+		c.list.seen = make(map[incarnation]bool)
+		c.list.unseen = make(map[incarnation]time.Time)
 	}
 	for _, r := range rows {
 		if r.Role == provider.RoleEntry {
-			c.list.seen[life{r.ID, r.Boot}] = true
+			c.list.seen[incarnation{r.ID, r.Boot}] = true
 		}
 	}
 }
 
+// differs reports whether the instances differ from the known ones in a way that affects routing.
 func (l *listing) differs(fresh map[string]provider.Listed) bool {
 	if len(l.rows) != len(fresh) {
 		return true
@@ -138,11 +143,12 @@
 	return false
 }
 
-func (c *Controller) listReached(ok bool) {
-	if c.list.said && c.list.ok == ok {
+// setPlatformReachable emits an event when the reachability of the platform has changed.
+func (c *Controller) setPlatformReachable(ok bool) {
+	if c.list.reported && c.list.ok == ok {
 		return
 	}
-	c.list.ok, c.list.said = ok, true
+	c.list.ok, c.list.reported = ok, true
 	n := event.PlatformUnreachable
 	if ok {
 		n = event.PlatformReachable
@@ -150,10 +156,11 @@
 	c.Events.Emit(n, event.Subject{}, "")
 }
 
-// maxObservations bounds the rows of one record.
+// maxObservations is the maximum number of instances in one record.
 const maxObservations = 200
 
-// observe writes the rows of the list that the tables do not have yet, for the data centres that this entry watches.
+// observe writes the differences between the list and the tables to the log, for the data centres whose observe duty this entry
+// owns.
 func (c *Controller) observe() {
 	if !c.list.ok {
 		return
@@ -161,12 +168,12 @@
 	var changed []fleet.Observation
 	for id, r := range c.list.rows {
 		ob := fleet.Observation{ID: id, DataCentre: r.DataCentre, Rack: r.Rack, Address: r.Address, Cores: r.Cores, MemoryMB: r.MemoryMB, Leaving: r.Leaving}
-		if r.Role == provider.RoleWorker && c.leads("observe", r.DataCentre) && ob.Differs(c.tables.Instances.Get(id)) {
+		if r.Role == provider.RoleWorker && c.ownsDuty("observe", r.DataCentre) && ob.Differs(c.tables.Instances.Get(id)) {
 			changed = append(changed, ob)
 		}
 	}
 	for id, in := range c.tables.Instances.All {
-		if _, ok := c.list.rows[id]; !ok && c.leads("observe", in.DataCentre) {
+		if _, ok := c.list.rows[id]; !ok && c.ownsDuty("observe", in.DataCentre) {
 			if ob := (fleet.Observation{ID: id, Down: true}); ob.Differs(in) {
 				changed = append(changed, ob)
 			}
@@ -184,59 +191,61 @@
 	}
 }
 
-// unlistedAfter is how long the list may lag behind a new entry.
-const unlistedAfter = time.Minute
+// unlistedTimeout is how long the list may lack a newly started entry.
+const unlistedTimeout = time.Minute
 
-// seenAfter is how long an entry waits for the leader to remove one that the list has shown and shows no longer.
-const seenAfter = 5 * time.Second
+// takeoverDelay is how long an entry that doesn't own the duty waits before it removes a terminated entry itself.
+const takeoverDelay = 5 * time.Second
 
-// admitEntries joins this entry and removes those that the platform no longer runs.
-func (c *Controller) admitEntries() {
+// reconcileEntries joins this entry and removes the entries that the platform no longer runs.
+func (c *Controller) reconcileEntries() {
 	if c.Server.Stopping() {
 		return
 	}
 	e := c.tables.Entries.Get(c.Self.ID)
-	if (e == nil || e.Boot != c.Self.Boot) && !c.over(life{c.Self.ID, c.Self.Boot}) {
+	if (e == nil || e.Boot != c.Self.Boot) && !c.terminated(incarnation{c.Self.ID, c.Self.Boot}) {
 		c.write("join", fleet.Record{Join: &fleet.Join{Entry: c.Self}})
 	}
 	if !c.list.ok {
 		return
 	}
-	leads := c.leads("members", "")
+	ownsDuty := c.ownsDuty("members", "")
 	for id, e := range c.tables.Entries.All {
-		l := life{id, e.Boot}
-		if c.unlistedFor(l) > c.patienceWith(l, leads) {
+		l := incarnation{id, e.Boot}
+		if c.unlistedFor(l) > c.unlistedLimit(l, ownsDuty) {
 			c.write("leave/"+id+e.Boot, fleet.Record{Leave: &fleet.Leave{ID: id, Boot: e.Boot}})
 		}
 	}
 }
 
-// over says that the list has shown this life of the entry and shows it no longer.
-func (c *Controller) over(l life) bool {
+// terminated reports whether the list has contained this incarnation and no longer does.
+func (c *Controller) terminated(l incarnation) bool {
 	row, listed := c.list.rows[l.entry]
 	return c.list.seen[l] && (!listed || row.Boot != l.boot)
 }
 
-// patienceWith returns how long the list must lack the entry before this one says that it has gone.
+// unlistedLimit returns how long the list must lack the incarnation before this entry removes it from the tables.
 //
-// The leader of the duty may be too new to have seen the entry in the list; another one that has takes its place.
-func (c *Controller) patienceWith(l life, leads bool) time.Duration {
+// The owner of the duty may have started too late to have seen the incarnation in the list. Another entry that has seen it
+// then takes over after takeoverDelay.
+func (c *Controller) unlistedLimit(l incarnation, ownsDuty bool) time.Duration {
 	switch {
-	case !c.over(l):
-		return unlistedAfter
-	case leads:
+	case !c.terminated(l):
+		return unlistedTimeout
+	case ownsDuty:
 		return 0
 	}
-	return seenAfter
+	return takeoverDelay
 }
 
-// unlistedFor returns how long the list has lacked the joined entry, 0 while it is listed or a peer hears of it.
-func (c *Controller) unlistedFor(l life) time.Duration {
+// unlistedFor returns how long the list has lacked the joined incarnation. It is 0 while the incarnation is listed, and while it
+// is heard from unless the list has contained it before.
+func (c *Controller) unlistedFor(l incarnation) time.Duration {
 	row, listed := c.list.rows[l.entry]
 	heard := c.members.byEntry[l.entry]
 	now := time.Now()
-	alive := heard != nil && heard.status.Boot == l.boot && !heard.status.Stopping && now.Sub(heard.heard) < farLiveFor
-	if (listed && row.Boot == l.boot) || l.entry == c.Self.ID || (alive && !c.over(l)) {
+	alive := heard != nil && heard.status.Boot == l.boot && !heard.status.Stopping && now.Sub(heard.heardAt) < remoteLiveTimeout
+	if (listed && row.Boot == l.boot) || l.entry == c.Self.ID || (alive && !c.terminated(l)) {
 		delete(c.list.unseen, l)
 		return 0
 	}
--- a/control/overdue.go
+++ b/control/overdue.go
@@ -11,18 +11,18 @@
 	"rackstep.dev/place"
 )
 
-// overdueAfter is how long a decision may be left undone before the next entry in line carries it out.
+// overdueDelay is how long a decision may be pending before the successor of the duty's owner writes it.
 //
-// It may take longer until a dead leader in another data centre is missed.
-const overdueAfter = 1500 * time.Millisecond
+// It is shorter than remoteLiveTimeout, after which a failed owner in another data centre is detected.
+const overdueDelay = 1500 * time.Millisecond
 
-// overdue remembers since when each job could have been started or yielded; the zero value knows nothing.
+// overdue tracks since when each start or yield has been possible; the zero value is empty.
 type overdue struct {
 	since map[string]time.Time
 }
 
-// of returns those of the decisions that have been possible for a while and that the leader has left undone.
-func (o *overdue) of(d place.Decisions, now time.Time) place.Decisions {
+// filter returns the decisions that have been possible for longer than overdueDelay without being written by the duty's owner.
+func (o *overdue) filter(d place.Decisions, now time.Time) place.Decisions {
 	next := make(map[string]time.Time)
 	due := func(key string) bool {
 		at, known := o.since[key]
@@ -30,11 +30,11 @@
 			at = now
 		}
 		next[key] = at
-		return now.Sub(at) > overdueAfter
+		return now.Sub(at) > overdueDelay
 	}
 	d.Starts = slices.DeleteFunc(d.Starts, func(s fleet.Start) bool { return !due(fmt.Sprintf("start/%s/%d", s.Job, s.Attempt)) })
 	d.Yields = slices.DeleteFunc(d.Yields, func(y fleet.Yield) bool { return !due(fmt.Sprintf("yield/%s/%d", y.Job, y.Attempt)) })
-	d.Parks = nil // nothing waits for them
+	d.Parks = nil // parking is not urgent
 	o.since = next
 	return d
 }
--- a/control/reader.go
+++ b/control/reader.go
@@ -12,38 +12,38 @@
 	"rackstep.dev/fleet"
 )
 
-// bootstrap is what was read of the log before the entry has tables.
+// bootstrap collects the records of the log until the entry has tables.
 type bootstrap struct {
 	done    bool
 	records []feed.Entry
 	first   int64
 }
 
-// errNoTables means that neither the log nor a peer gave tables yet.
+// errNoTables means that the entry has no tables yet, because neither the log nor a peer has provided them.
 var errNoTables = errors.New("no checkpoint in the log and no tables from a peer yet")
 
-// follow reads the fleet log until the context ends.
-func (c *Controller) follow(ctx context.Context) {
+// followFleetLog reads the fleet log until the context ends.
+func (c *Controller) followFleetLog(ctx context.Context) {
 	r := feed.Reader{Log: c.Log}
 	r.Page = func(ctx context.Context, p feed.Page) (next int64, err error) {
-		if err := c.do(ctx, func() { next, err = c.page(p) }); err != nil {
+		if err := c.do(ctx, func() { next, err = c.handlePage(p) }); err != nil {
 			return 0, err
 		}
 		return next, err
 	}
 	r.Trimmed = func(ctx context.Context, first int64) (next int64, err error) {
 		c.Events.Emit(event.LogTrimmed, event.Subject{}, fmt.Sprintf("the log begins at %d", first))
-		return c.trimmed(ctx, first)
+		return c.handleTrim(ctx, first)
 	}
-	r.Failed = c.readFailed
-	_ = r.Run(ctx) // it ends with the context
+	r.Failed = c.handleReadFailure
+	_ = r.Run(ctx) // Run ends only with the context
 }
 
-// page folds one page, or keeps it until the end of the log is reached.
-func (c *Controller) page(p feed.Page) (next int64, err error) {
-	c.reached(true)
+// handlePage applies one page of records. Before the entry has tables, it collects pages until the end of the log.
+func (c *Controller) handlePage(p feed.Page) (next int64, err error) {
+	c.setLogReachable(true)
 	if !c.boot.done {
-		return c.bootPage(p)
+		return c.handleBootPage(p)
 	}
 	for _, e := range p.Records {
 		c.apply(e)
@@ -52,7 +52,8 @@
 	return c.tables.Offset + 1, nil
 }
 
-func (c *Controller) bootPage(p feed.Page) (next int64, err error) {
+// handleBootPage collects the page and, at the end of the log, builds the tables from the collected records.
+func (c *Controller) handleBootPage(p feed.Page) (next int64, err error) {
 	if len(c.boot.records) == 0 {
 		c.boot.first = p.First
 		if len(p.Records) > 0 {
@@ -67,12 +68,12 @@
 	if next < p.Next {
 		return next, nil
 	}
-	t := newestCheckpoint(c.boot.records, c.boot.first)
+	t := initialTables(c.boot.records, c.boot.first)
 	if t == nil {
 		return next, errNoTables
 	}
 	records := c.boot.records
-	c.adopt(t)
+	c.adoptTables(t)
 	c.boot = bootstrap{done: true}
 	for _, e := range records {
 		c.apply(e)
@@ -81,8 +82,9 @@
 	return c.tables.Offset + 1, nil
 }
 
-// newestCheckpoint returns the tables to start from, or nil when the records leave a gap after every checkpoint.
-func newestCheckpoint(records []feed.Entry, first int64) *fleet.Tables {
+// initialTables returns the tables of the newest checkpoint that the records continue without a gap, empty tables if there is none
+// and the records begin at offset 0, or nil.
+func initialTables(records []feed.Entry, first int64) *fleet.Tables {
 	var best *fleet.Checkpoint
 	for _, e := range records {
 		r, err := fleet.DecodeRecord(e.Data)
@@ -104,38 +106,39 @@
 	return nil
 }
 
-// adopt takes tables that are further than this entry's own.
-func (c *Controller) adopt(t *fleet.Tables) {
+// adoptTables replaces this entry's tables if the given ones have a higher offset.
+func (c *Controller) adoptTables(t *fleet.Tables) {
 	if c.tables != nil && c.tables.Offset >= t.Offset {
 		return
 	}
 	c.tables = t
 	c.boot = bootstrap{done: true}
 	c.tail.reset(t.Offset)
-	c.marks.reset()
-	c.viewed = false
+	c.checkpointState.reset()
+	c.viewCurrent = false
 }
 
-// trimmed goes on where the log begins, after the gap was filled by a peer or by a checkpoint in the log.
-func (c *Controller) trimmed(ctx context.Context, first int64) (next int64, err error) {
+// handleTrim returns the offset at which to continue reading after the log has dropped records before they were read. The gap is
+// filled by a peer, or else by a checkpoint that is found in the log.
+func (c *Controller) handleTrim(ctx context.Context, first int64) (next int64, err error) {
 	c.catchUp(ctx)
 	err = c.do(ctx, func() {
 		if c.tables != nil && c.tables.Offset+1 >= first {
 			next = c.tables.Offset + 1
 			return
 		}
-		// Older tables stay in force until newer ones are found.
+		// The old tables stay in use until newer ones are found.
 		c.boot = bootstrap{}
 		next = first
 	})
 	return next, err
 }
 
-// readFailed asks peers for what the log does not give.
-func (c *Controller) readFailed(ctx context.Context, next int64, err error) int64 {
+// handleReadFailure requests the missing records or tables from peers.
+func (c *Controller) handleReadFailure(ctx context.Context, next int64, err error) int64 {
 	_ = c.do(ctx, func() {
 		if !errors.Is(err, errNoTables) {
-			c.reached(false)
+			c.setLogReachable(false)
 		}
 	})
 	c.catchUp(ctx)
@@ -147,19 +150,20 @@
 	return next
 }
 
-func (c *Controller) reached(log bool) {
-	if c.reach.said && c.reach.log == log {
+// setLogReachable emits an event when the reachability of the fleet log has changed.
+func (c *Controller) setLogReachable(reachable bool) {
+	if c.logState.reported && c.logState.reachable == reachable {
 		return
 	}
-	c.reach = reach{log: log, said: true}
-	if log {
+	c.logState = logState{reachable: reachable, reported: true}
+	if reachable {
 		c.Events.Emit(event.LogReachable, event.Subject{}, "")
 		return
 	}
 	c.Events.Emit(event.LogUnreachable, event.Subject{}, "")
 }
 
-// apply folds one record.
+// apply applies one record of the fleet log to the tables.
 func (c *Controller) apply(e feed.Entry) {
 	if e.Offset <= c.tables.Offset {
 		return
@@ -167,17 +171,18 @@
 	c.tail.add(e)
 	r, err := fleet.DecodeRecord(e.Data)
 	if err != nil {
-		r = fleet.Record{} // it is refused at every entry
+		r = fleet.Record{} // an empty record, which every entry refuses
 	}
 	refusal := c.tables.Apply(e.Offset, r)
 	c.Events.SetOffset(e.Offset)
 	if refusal == nil && affectsTraffic(r) {
-		c.viewed = false
+		c.viewCurrent = false
 	}
 	c.writer.readBack(r, fleet.Result{ID: r.ID, Offset: e.Offset, Version: c.tables.Version, Refusal: refusal})
-	c.tell(r, refusal)
+	c.emitRecordEvent(r, refusal)
 }
 
+// affectsTraffic reports whether the record may change a view.
 func affectsTraffic(r fleet.Record) bool {
 	return r.Configure != nil || r.Observe != nil || r.Join != nil || r.Leave != nil || r.Advance != nil
 }
@@ -196,7 +201,7 @@
 				started = true
 				c.Book.StartAt(e.Offset, e.Data)
 			}
-			if err := c.Book.Fold(e.Data); err != nil {
+			if err := c.Book.Apply(e.Data); err != nil {
 				c.Events.Emit(event.ClaimsUnreadable, event.Subject{}, err.Error())
 			}
 		}
@@ -208,5 +213,5 @@
 		return first, nil
 	}
 	r.Failed = func(_ context.Context, next int64, _ error) int64 { return next }
-	_ = r.Run(ctx) // it ends with the context
+	_ = r.Run(ctx) // Run ends only with the context
 }
--- a/control/status.go
+++ b/control/status.go
@@ -10,12 +10,12 @@
 	"rackstep.dev/fleet"
 )
 
-// Read runs f with the tables on the control goroutine; f must not keep them.
+// Read calls f with the tables, nil before there are any, on the control goroutine. f must not retain the tables.
 func (c *Controller) Read(ctx context.Context, f func(t *fleet.Tables)) error {
 	return c.do(ctx, func() { f(c.tables) })
 }
 
-// Status returns what this entry knows.
+// Status returns the status of this entry, of its peers, and of the services, teams, plans and jobs in the tables.
 func (c *Controller) Status(ctx context.Context) (admin.Status, error) {
 	st := admin.Status{Entry: c.Self.ID, Offset: -1, Jobs: make(admin.JobCounts)}
 	st.InFlight, st.Waiting, st.Slots = c.Server.Load()
@@ -41,7 +41,7 @@
 		e := c.members.byEntry[id]
 		s := e.status
 		st.Entries = append(st.Entries, admin.EntryStatus{
-			Entry: id, DataCentre: s.DataCentre, Version: s.Version, Offset: s.Offset, Age: fleet.Duration(now.Sub(e.heard).Round(time.Millisecond)),
+			Entry: id, DataCentre: s.DataCentre, Version: s.Version, Offset: s.Offset, Age: fleet.Duration(now.Sub(e.heardAt).Round(time.Millisecond)),
 			LogReachable: s.LogReachable, Stopping: s.Stopping, Caller: s.CallerAddress, Operator: s.OperatorAddress,
 		})
 	}
@@ -77,7 +77,7 @@
 		case s.State != fleet.StepWaiting:
 			st.Out++
 		}
-		if reason := c.commands.held[s.Instance]; reason != "" && !s.State.Ended() && p.Active() {
+		if reason := c.commands.holdReasons[s.Instance]; reason != "" && !s.State.Ended() && p.Active() {
 			st.Waits[s.Instance] = reason
 		}
 	}
--- a/control/tail.go
+++ b/control/tail.go
@@ -13,15 +13,15 @@
 	"rackstep.dev/peer/peerpb"
 )
 
-// tail keeps the latest records of the fleet log for peers that can't read it.
+// tail holds the latest records of the fleet log for peers that can't read the log.
 type tail struct {
-	// after is the offset before the first record kept.
+	// after is the offset that precedes the first record held.
 	after   int64
 	records []feed.Entry
 	bytes   int
 }
 
-// maxTail bounds the tail in bytes.
+// maxTail is the maximum size of the tail in bytes.
 const maxTail = 2 << 20
 
 func (t *tail) reset(after int64) { *t = tail{after: after} }
@@ -40,7 +40,7 @@
 	}
 }
 
-// since returns the records after the offset, and false when some of them are no longer kept.
+// since returns the records after the offset, and false when some of them are no longer held.
 func (t *tail) since(after int64) ([]feed.Entry, bool) {
 	if after < t.after {
 		return nil, false
@@ -53,7 +53,7 @@
 	return nil, true
 }
 
-// serveCatchUp sends a peer the records that it misses, or the tables.
+// serveCatchUp sends a peer the records after the requested offset, or the tables when the tail doesn't reach back that far.
 func (c *Controller) serveCatchUp(ctx context.Context, q *peerpb.CatchUp, s *peer.Stream) {
 	answer := new(peerpb.CatchUpAnswer)
 	var failed error
@@ -72,13 +72,13 @@
 		}
 	})
 	if errors.Join(err, failed) != nil {
-		s.Close() // the peer sees at once that there is no answer
+		s.Close() // tells the peer that there will be no response
 		return
 	}
-	_ = s.Send(answer) // a peer that has gone asks again
+	_ = s.Send(answer) // a peer that didn't receive it retries
 }
 
-// catchUp asks the linked peers for what this entry misses of the fleet log.
+// catchUp requests the part of the fleet log that this entry lacks from the linked peers.
 func (c *Controller) catchUp(ctx context.Context) {
 	for _, entry := range c.Mesh.Up() {
 		after := int64(-1)
@@ -89,16 +89,16 @@
 		}) != nil {
 			return
 		}
-		answer, err := c.askPeer(ctx, entry, after)
+		answer, err := c.requestCatchUp(ctx, entry, after)
 		if err != nil {
 			continue
 		}
-		_ = c.do(ctx, func() { c.takeFromPeer(entry, answer) }) // it fails only when the entry stops
+		_ = c.do(ctx, func() { c.applyCatchUp(entry, answer) }) // do fails only when the entry stops
 	}
 }
 
-func (c *Controller) askPeer(ctx context.Context, entry string, after int64) (*peerpb.CatchUpAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, pendingTime)
+func (c *Controller) requestCatchUp(ctx context.Context, entry string, after int64) (*peerpb.CatchUpAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, pendingTimeout)
 	defer cancel()
 	s, err := c.Mesh.Open(ctx, entry, &peerpb.Open{Kind: &peerpb.Open_CatchUp{CatchUp: &peerpb.CatchUp{After: after}}})
 	if err != nil {
@@ -109,20 +109,21 @@
 	return answer, s.Receive(answer)
 }
 
-func (c *Controller) takeFromPeer(entry string, a *peerpb.CatchUpAnswer) {
+// applyCatchUp applies the tables and the records that the peer sent.
+func (c *Controller) applyCatchUp(entry string, a *peerpb.CatchUpAnswer) {
 	if len(a.Tables) > 0 {
 		t, err := fleet.LoadCheckpoint(a.Tables)
 		if err != nil {
 			return
 		}
-		c.adopt(t)
+		c.adoptTables(t)
 		c.Events.Emit(event.TablesFromPeer, event.Subject{Entry: entry}, "")
 	}
 	if c.tables == nil {
 		if len(a.Records) == 0 || a.Records[0].Offset != 0 {
 			return
 		}
-		c.adopt(fleet.New())
+		c.adoptTables(fleet.New())
 	}
 	applied := 0
 	for _, r := range a.Records {
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -15,48 +15,48 @@
 	"rackstep.dev/route"
 )
 
-// tasks remembers what this entry has asked the platform about the attempts that it follows.
+// tasks tracks the calls to the platform about the attempts that this entry follows.
 type tasks struct {
-	// asking are the attempts with a call of their own under way, due is when the next such call about each may be made.
-	asking map[string]bool
-	due    map[string]dueCall
-	// seen is what the platform has reported of each attempt.
-	seen map[string]*usage
-	// holds are the calls that follow what runs on an instance, by instance.
+	// inFlight holds the attempts with a single-task call in flight, due when the next such call for each may be made.
+	inFlight map[string]bool
+	due      map[string]dueCall
+	// usage holds what the platform has reported about each attempt.
+	usage map[string]*usage
+	// holds holds the long-poll calls, by instance.
 	holds map[string]*hold
-	// overdue is what the leader of the placement has left undone.
+	// overdue tracks the placement decisions that the owner of the duty has not written.
 	overdue overdue
 }
 
-// dueCall is when the next call about an attempt may be made; one that is to end is asked about at once when it was not to
-// end before.
+// dueCall is when the next call for an attempt may be made, and whether the previous call was made to end the attempt. The first
+// call to end an attempt is made at once.
 type dueCall struct {
 	at     time.Time
 	ending bool
 }
 
 func (m *tasks) init() {
-	m.asking = make(map[string]bool)
+	m.inFlight = make(map[string]bool)
 	m.due = make(map[string]dueCall)
-	m.seen = make(map[string]*usage)
+	m.usage = make(map[string]*usage)
 	m.holds = make(map[string]*hold)
 }
 
-// Times of tasks.
+// Intervals of the calls about tasks.
 const (
 	taskLease = time.Minute
-	// taskPeriod is the time between two calls about one attempt that is not simply running.
+	// taskPeriod is the time between two single-task calls for one attempt.
 	taskPeriod = 2 * time.Second
 )
 
 func attemptID(j *fleet.Job) string { return fmt.Sprintf("%s.%d", j.ID, j.Attempt) }
 
-// followTasks follows every attempt on the instances that are this entry's to follow.
+// followTasks follows every attempt on the instances that are assigned to this entry.
 func (c *Controller) followTasks() {
 	current := make(map[string]bool)
 	followed := make(map[string]bool)
-	for centre, instances := range c.jobs.held {
-		followers := c.followers(centre)
+	for dataCentre, instances := range c.jobs.occupying {
+		followers := c.followers(dataCentre)
 		if !slices.Contains(followers, c.Self.ID) {
 			continue
 		}
@@ -71,76 +71,77 @@
 			c.followInstance(c.tables.Instances.Get(id), jobs)
 		}
 	}
-	c.tasks.keep(current)
+	c.tasks.prune(current)
 	c.dropHolds(followed)
 }
 
 // followers returns the entries that follow tasks in the data centre.
 //
-// When nobody reaches the log, leases are renewed all the same: that needs no record, and what ends is written later.
-func (c *Controller) followers(centre string) []string {
-	if ids := c.ableIn(centre); len(ids) > 0 {
+// When no entry reaches the log, the live entries still renew the leases, which needs no record; ended tasks are recorded later.
+func (c *Controller) followers(dataCentre string) []string {
+	if ids := c.reachingLogIn(dataCentre); len(ids) > 0 {
 		return ids
 	}
-	return c.liveIn(centre)
+	return c.liveIn(dataCentre)
 }
 
-// keep forgets attempts that have ended or are another entry's.
-func (m *tasks) keep(current map[string]bool) {
+// prune removes attempts that have ended or that another entry follows.
+func (m *tasks) prune(current map[string]bool) {
 	for id := range m.due {
 		if !current[id] {
 			delete(m.due, id)
 		}
 	}
-	for id := range m.seen {
+	for id := range m.usage {
 		if !current[id] {
-			delete(m.seen, id)
+			delete(m.usage, id)
 		}
 	}
 }
 
-// followInstance asks about each job that is to begin or to end, and holds those that simply run.
+// followInstance makes single-task calls for the jobs that are to start or to end, and a hold call for the others.
 func (c *Controller) followInstance(in *fleet.Instance, jobs []*fleet.Job) {
 	draining := in.State == fleet.InstanceDraining || in.Leaving
 	var running []*fleet.Job
 	for _, j := range jobs {
 		id := attemptID(j)
-		leaving := j.Yielding || (draining && c.shouldLeave(id, j))
+		leaving := j.Yielding || (draining && c.shouldMove(id, j))
 		if j.State == fleet.JobRunning && !leaving {
 			running = append(running, j)
 			continue
 		}
-		c.askAbout(id, *j, leaving, in.Down)
+		c.callTask(id, *j, leaving, in.Down)
 	}
 	c.hold(in.ID, running)
 }
 
-// shouldLeave says whether a job on a draining instance is moved rather than waited for.
-func (c *Controller) shouldLeave(id string, j *fleet.Job) bool {
-	seen := c.tasks.seen[id]
-	return seen == nil || plan.Leaves(j, seen.ran(time.Now()), c.patience())
+// shouldMove reports whether a job on a draining instance is to be moved instead of being waited for.
+func (c *Controller) shouldMove(id string, j *fleet.Job) bool {
+	seen := c.tasks.usage[id]
+	return seen == nil || plan.Leaves(j, seen.ran(time.Now()), c.maxJobWait())
 }
 
-// askAbout makes a call about one attempt when that is due.
-func (c *Controller) askAbout(id string, j fleet.Job, leaving, down bool) {
+// callTask makes a single-task call for an attempt if one is due.
+func (c *Controller) callTask(id string, j fleet.Job, leaving, down bool) {
 	now := time.Now()
 	ending := leaving || j.State == fleet.JobCancelling
 	due := c.tasks.due[id]
-	if c.tasks.asking[id] || (now.Before(due.at) && due.ending == ending) {
+	if c.tasks.inFlight[id] || (now.Before(due.at) && due.ending == ending) {
 		return
 	}
-	c.tasks.asking[id] = true
+	c.tasks.inFlight[id] = true
 	c.tasks.due[id] = dueCall{now.Add(taskPeriod), ending}
 	go func() {
-		report, err := c.askTask(c.ctx, id, j, leaving, down)
-		_ = c.post(c.ctx, func() { // it fails only when the entry stops
-			delete(c.tasks.asking, id)
-			c.taskSays(id, j, report, err)
+		report, err := c.sendTaskCall(c.ctx, id, j, leaving, down)
+		_ = c.post(c.ctx, func() { // post fails only when the entry stops
+			delete(c.tasks.inFlight, id)
+			c.handleTaskReport(id, j, report, err)
 		})
 	}()
 }
 
-func (c *Controller) askTask(ctx context.Context, id string, j fleet.Job, leaving, down bool) (provider.TaskReport, error) {
+// sendTaskCall starts, stops, checkpoints or queries the attempt, depending on the state of the job and of its instance.
+func (c *Controller) sendTaskCall(ctx context.Context, id string, j fleet.Job, leaving, down bool) (provider.TaskReport, error) {
 	switch {
 	case j.State == fleet.JobCancelling || (down && j.State == fleet.JobStarting):
 		return c.Platform.StopTask(ctx, j.Instance, id)
@@ -154,8 +155,8 @@
 	})
 }
 
-// taskSays writes what the platform said of the attempt when it differs from the tables.
-func (c *Controller) taskSays(id string, j fleet.Job, report provider.TaskReport, err error) {
+// handleTaskReport writes the attempt's outcome to the log when it differs from the tables, or else its usage when that does.
+func (c *Controller) handleTaskReport(id string, j fleet.Job, report provider.TaskReport, err error) {
 	if err != nil {
 		c.Events.Emit(event.TaskUncertain, event.Subject{Job: j.ID, Instance: j.Instance}, err.Error())
 		return
@@ -165,9 +166,9 @@
 		return
 	}
 	now := time.Now()
-	seen := c.tasks.see(id, now, report.Usage)
+	seen := c.tasks.recordUsage(id, now, report.Usage)
 	if outcome == fleet.OutcomeRunning && j.State != fleet.JobStarting {
-		c.measure(j.ID, j.Attempt, seen, now)
+		c.writeMeasurement(j.ID, j.Attempt, seen, now)
 		return
 	}
 	s := fleet.Settle{Job: j.ID, Attempt: j.Attempt, Outcome: outcome}
--- a/control/usage.go
+++ b/control/usage.go
@@ -11,53 +11,54 @@
 	"rackstep.dev/provider"
 )
 
-// usageKept is the number of reports of an attempt of which the largest counts.
-const usageKept = 8
+// usageReports is the number of latest reports per attempt over which the peak usage is taken.
+const usageReports = 8
 
-// measurePause is the least time between two records about the usage of one attempt.
-const measurePause = 30 * time.Second
+// minMeasureInterval is the minimum time between two Measure records for one attempt.
+const minMeasureInterval = 30 * time.Second
 
-// usage is what the platform has reported of one attempt to this entry.
+// usage is what the platform has reported to this entry about one attempt.
 type usage struct {
-	// since is when this entry first saw the attempt, by its own clock.
-	since time.Time
-	// longest is the latest run time that the platform reported, told when.
-	longest time.Duration
-	told    time.Time
-	// latest are the newest reports, the next one replaces the one at next.
-	latest [usageKept]provider.Usage
+	// firstSeen is when this entry first saw the attempt, by its own clock.
+	firstSeen time.Time
+	// reportedRun is the run time in the latest report, and reportedAt the time of that report, zero when there was none.
+	reportedRun time.Duration
+	reportedAt  time.Time
+	// latest is a ring buffer of the latest reports; next is the index of the next report.
+	latest [usageReports]provider.Usage
 	next   int
-	// measured is when this entry last wrote what the attempt uses.
-	measured time.Time
+	// writtenAt is when this entry last wrote a Measure record for the attempt.
+	writtenAt time.Time
 }
 
-// see remembers the report, which is nil when the platform knows nothing of the usage, and returns all about the attempt.
-func (m *tasks) see(id string, now time.Time, report *provider.Usage) *usage {
-	u := m.seen[id]
+// recordUsage stores the report, which is nil when the platform doesn't know the usage, and returns the usage of the attempt.
+func (m *tasks) recordUsage(id string, now time.Time, report *provider.Usage) *usage {
+	u := m.usage[id]
 	if u == nil {
-		u = &usage{since: now}
-		m.seen[id] = u
+		u = &usage{firstSeen: now}
+		m.usage[id] = u
 	}
 	if report != nil {
 		u.latest[u.next] = *report
-		u.next = (u.next + 1) % usageKept
-		u.longest, u.told = report.Ran, now
+		u.next = (u.next + 1) % usageReports
+		u.reportedRun, u.reportedAt = report.Ran, now
 	}
 	return u
 }
 
-// ran returns how long the attempt has run: what the platform told, or the time since this entry first saw it.
+// ran returns how long the attempt has run: the larger of the time since this entry first saw it and the reported run time plus
+// the time since that report.
 func (u *usage) ran(now time.Time) time.Duration {
-	seen := now.Sub(u.since)
-	if u.told.IsZero() {
-		return seen
+	sinceSeen := now.Sub(u.firstSeen)
+	if u.reportedAt.IsZero() {
+		return sinceSeen
 	}
-	return max(seen, u.longest+now.Sub(u.told))
+	return max(sinceSeen, u.reportedRun+now.Sub(u.reportedAt))
 }
 
-// most returns the largest of the latest reports.
-func (u *usage) most() place.Seen {
-	s := place.Seen{Ran: u.longest}
+// peak returns the largest cores and memory of the latest reports, with the latest run time.
+func (u *usage) peak() place.Seen {
+	s := place.Seen{Ran: u.reportedRun}
 	for _, r := range u.latest {
 		s.Cores = max(s.Cores, r.Cores)
 		s.MemoryMB = max(s.MemoryMB, r.MemoryMB)
@@ -65,19 +66,19 @@
 	return s
 }
 
-// measure writes what the attempt uses when the tables are far from it.
-func (c *Controller) measure(job string, attempt int, u *usage, now time.Time) {
-	if u.told.IsZero() || (!u.measured.IsZero() && now.Sub(u.measured) < measurePause) {
+// writeMeasurement writes the attempt's usage to the log when it differs enough from the tables.
+func (c *Controller) writeMeasurement(job string, attempt int, u *usage, now time.Time) {
+	if u.reportedAt.IsZero() || (!u.writtenAt.IsZero() && now.Sub(u.writtenAt) < minMeasureInterval) {
 		return
 	}
 	j := c.tables.Jobs.Get(job)
 	if j == nil || j.Attempt != attempt {
 		return
 	}
-	m, differs := place.Measured(j, u.most())
+	m, differs := place.Measured(j, u.peak())
 	if !differs {
 		return
 	}
-	u.measured = now
+	u.writtenAt = now
 	c.write(fmt.Sprintf("measure/%s/%d", job, attempt), fleet.Record{Measure: &m})
 }
--- a/control/view.go
+++ b/control/view.go
@@ -13,42 +13,42 @@
 	"rackstep.dev/serve"
 )
 
-// membership is what a view depends on beside the tables.
+// membership is the input of a view apart from the tables.
 type membership struct {
-	live   []string
-	known  int
-	agreed bool
-	held   string
-	far    string
-	listed uint64
+	live        []string
+	known       int
+	agree       bool
+	heldSlots   string
+	linked      string
+	listChanges uint64
 }
 
 func (a membership) equal(b membership) bool {
-	return slices.Equal(a.live, b.live) && a.known == b.known && a.agreed == b.agreed &&
-		a.held == b.held && a.far == b.far && a.listed == b.listed
+	return slices.Equal(a.live, b.live) && a.known == b.known && a.agree == b.agree &&
+		a.heldSlots == b.heldSlots && a.linked == b.linked && a.listChanges == b.listChanges
 }
 
-// publish puts a new view in force when the tables or the membership have changed.
+// publish replaces the view when the membership has changed or a record that affects traffic was applied.
 func (c *Controller) publish() {
 	if c.tables == nil || c.tables.Version == 0 {
 		return
 	}
 	now := c.membership()
 	old := c.Server.View()
-	if c.viewed && old != nil && now.equal(c.viewedWith) {
+	if c.viewCurrent && old != nil && now.equal(c.viewMembership) {
 		c.moveOffset(old)
 		return
 	}
 	v := c.view(now)
 	c.Server.SetView(v)
 	c.Book.SetEntries(c.tables.Entries.Len())
-	c.viewed, c.viewedWith = true, now
+	c.viewCurrent, c.viewMembership = true, now
 	if old == nil || old.Version != v.Version {
 		c.Events.Emit(event.ConfigurationInForce, event.Subject{}, versionText(v.Version))
 	}
 }
 
-// moveOffset follows records that do not concern traffic without a new set-up of the gates.
+// moveOffset updates the view's offset after records that don't affect traffic, without setting the gates again.
 func (c *Controller) moveOffset(old *serve.View) {
 	if old.Offset == c.tables.Offset {
 		return
@@ -58,20 +58,20 @@
 	c.Server.MoveView(&v)
 }
 
-// linkTime is how long a new entry waits for links to all data centres before it serves without them.
-const linkTime = 2 * time.Second
+// linkTimeout is how long a new entry waits for links to all data centres before it serves callers without them.
+const linkTimeout = 2 * time.Second
 
-// becomeReady lets callers come once every data centre can be reached, or was tried for some time.
+// becomeReady accepts callers once every data centre with a known entry is linked, or linkTimeout has passed.
 func (c *Controller) becomeReady(now time.Time) {
 	v := c.Server.View()
 	if c.ready || v == nil {
 		return
 	}
-	if c.viewedAt.IsZero() {
-		c.viewedAt = now
+	if c.firstViewAt.IsZero() {
+		c.firstViewAt = now
 	}
 	for _, dc := range c.tables.Configuration.DataCentres {
-		if dc.Name != c.Self.DataCentre && len(v.Entries[dc.Name]) == 0 && now.Sub(c.viewedAt) < linkTime && c.expected(dc.Name) {
+		if dc.Name != c.Self.DataCentre && len(v.Entries[dc.Name]) == 0 && now.Sub(c.firstViewAt) < linkTimeout && c.hasKnownEntry(dc.Name) {
 			return
 		}
 	}
@@ -80,8 +80,8 @@
 	c.Events.Emit(event.EntryReady, event.Subject{}, "")
 }
 
-// expected says that the tables or the seeds name an entry of the data centre.
-func (c *Controller) expected(dataCentre string) bool {
+// hasKnownEntry reports whether the tables, the statuses or the seeds name an entry of the data centre.
+func (c *Controller) hasKnownEntry(dataCentre string) bool {
 	for _, a := range c.peerAddresses() {
 		if a.DataCentre == dataCentre {
 			return true
@@ -91,14 +91,14 @@
 }
 
 func (c *Controller) membership() membership {
-	m := membership{listed: c.list.changes}
+	m := membership{listChanges: c.list.changes}
 	m.live, m.known = c.members.neighbours(c)
-	m.agreed = c.members.agreed(c, m.live)
-	held := c.members.held(c)
+	m.agree = c.members.neighboursAgree(c, m.live)
+	held := c.members.heldSlots(c)
 	for _, id := range sortedKeys(held) {
-		m.held += id + "=" + itoa(held[id]) + " "
+		m.heldSlots += id + "=" + itoa(held[id]) + " "
 	}
-	m.far = strings.Join(c.Mesh.Up(), " ")
+	m.linked = strings.Join(c.Mesh.Up(), " ")
 	return m
 }
 
@@ -109,17 +109,17 @@
 		Services: make(map[string]*serve.Service, len(t.Configuration.Services)),
 		Entries:  make(map[string][]string),
 	}
-	v.Near, v.Region = c.near()
+	v.Near, v.Region = c.dataCentreOrder()
 	var err error
 	if v.Organisations, err = t.Configuration.Organisations(); err != nil {
-		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error()) // nobody is known until it is mended
+		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error()) // no caller is authorised until the configuration is corrected
 	}
 	for _, id := range c.Mesh.Up() {
 		if e := c.members.byEntry[id]; e != nil && !e.status.Stopping {
 			v.Entries[e.status.DataCentre] = append(v.Entries[e.status.DataCentre], id)
 		}
 	}
-	held := c.members.held(c)
+	held := c.members.heldSlots(c)
 	for i := range t.Configuration.Services {
 		s := t.Configuration.Services[i]
 		v.Services[s.Name] = c.service(s, m, held)
@@ -128,10 +128,10 @@
 }
 
 func (c *Controller) service(s fleet.Service, m membership, held map[string]int) *serve.Service {
-	out := &serve.Service{Service: s, Slots: share(s.SlotLimit(), m)}
+	out := &serve.Service{Service: s, Slots: slotShare(s.SlotLimit(), m)}
 	serving := make(map[string]bool)
 	for id, in := range c.tables.Instances.All {
-		if in.Pool != s.Pool || !in.Available() || !slices.Contains(s.DataCentres, in.DataCentre) || c.list.gone(id) {
+		if in.Pool != s.Pool || !in.Available() || !slices.Contains(s.DataCentres, in.DataCentre) || c.list.goneOrLeaving(id) {
 			continue
 		}
 		serving[in.DataCentre] = true
@@ -146,10 +146,11 @@
 	return out
 }
 
-// share returns the slots of a target that this entry may use, so that entries that disagree stay within the target's slots together.
-func share(slots int, m membership) int {
+// slotShare returns the number of a target's slots that this entry may use. It is reduced while entries may disagree about the
+// membership, so that together they stay within the target's slots.
+func slotShare(slots int, m membership) int {
 	switch {
-	case !m.agreed:
+	case !m.agree:
 		return max(1, slots/max(1, m.known))
 	case len(m.live) < m.known:
 		return max(1, slots*len(m.live)/m.known)
@@ -157,8 +158,9 @@
 	return slots
 }
 
-// near returns the data centres: this one, those of its region, the others.
-func (c *Controller) near() (list []string, inRegion int) {
+// dataCentreOrder returns all data centres by preference: this one, those of its region, the others. inRegion is the number of
+// those in the region, including this one.
+func (c *Controller) dataCentreOrder() (list []string, inRegion int) {
 	region := ""
 	if dc := c.tables.Configuration.DataCentre(c.Self.DataCentre); dc != nil {
 		region = dc.Region
--- a/control/writer.go
+++ b/control/writer.go
@@ -15,24 +15,25 @@
 	"rackstep.dev/serve"
 )
 
-// writer appends records to the fleet log, many in one append.
+// writer appends records to the fleet log in batches.
 type writer struct {
 	c     *Controller
 	queue chan []byte
-	// pending holds the keys of records that were written and not read back yet.
+	// pending holds the keys of records that were queued but not read back yet, with the time until which they are not
+	// written again.
 	pending map[string]time.Time
-	// keys maps a record's ID to its key, waiters to who waits for its outcome.
+	// keys maps the IDs of records to their keys, waiters maps them to the channels that receive their results.
 	keys    map[string]string
 	waiters map[string]chan fleet.Result
 }
 
-// Times and bounds of a writer.
+// Parameters of the writer.
 const (
-	writeInterval = 20 * time.Millisecond
-	writeBatch    = 256
-	writeQueue    = 1024
-	pendingTime   = 3 * time.Second
-	repeatTime    = 500 * time.Millisecond
+	writeInterval  = 20 * time.Millisecond
+	writeBatch     = 256
+	writeQueue     = 1024
+	pendingTimeout = 3 * time.Second
+	retryPause     = 500 * time.Millisecond
 )
 
 func (w *writer) init(c *Controller) {
@@ -43,7 +44,7 @@
 	w.waiters = make(map[string]chan fleet.Result)
 }
 
-// run appends what is queued until the context ends.
+// run appends queued records until the context ends.
 func (w *writer) run(ctx context.Context) {
 	for {
 		var batch [][]byte
@@ -54,15 +55,16 @@
 			batch = append(batch, b)
 		}
 		sleep(ctx, writeInterval)
-		batch = w.gather(batch)
-		// A lost batch is written again by the systems, or by the operator's Publish.
+		batch = w.fillBatch(batch)
+		// The records of a lost batch are written again by the control loops on a later tick.
 		if _, err := w.c.Log.Append(ctx, batch); err != nil && !errors.Is(err, feed.ErrUncertain) {
-			sleep(ctx, repeatTime)
+			sleep(ctx, retryPause)
 		}
 	}
 }
 
-func (w *writer) gather(batch [][]byte) [][]byte {
+// fillBatch adds queued records to the batch, up to writeBatch.
+func (w *writer) fillBatch(batch [][]byte) [][]byte {
 	for len(batch) < writeBatch {
 		select {
 		case b := <-w.queue:
@@ -74,7 +76,7 @@
 	return batch
 }
 
-// write queues the record unless one with the same key was written a moment ago.
+// write queues the record unless one with the same key was queued recently and has not been read back.
 func (c *Controller) write(key string, r fleet.Record) {
 	now := time.Now()
 	if until, ok := c.writer.pending[key]; ok && now.Before(until) {
@@ -88,9 +90,9 @@
 	}
 	select {
 	case c.writer.queue <- data:
-		c.writer.pending[key] = now.Add(pendingTime)
+		c.writer.pending[key] = now.Add(pendingTimeout)
 		c.writer.keys[r.ID] = key
-	default: // the queue is full because the log is down; the next tick tries again
+	default: // the queue is full because the log is down; the next tick retries
 	}
 }
 
@@ -100,7 +102,7 @@
 	return r.Encode()
 }
 
-// readBack tells whoever waits for the record what became of it.
+// readBack sends the result of an applied record to its waiter and allows records with the same key again.
 func (w *writer) readBack(r fleet.Record, res fleet.Result) {
 	if key, ok := w.keys[r.ID]; ok {
 		delete(w.keys, r.ID)
@@ -112,8 +114,8 @@
 	}
 }
 
-// forget drops keys whose records never came back.
-func (w *writer) forget(now time.Time) {
+// expire removes the keys of records that were not read back in time.
+func (w *writer) expire(now time.Time) {
 	for id, key := range w.keys {
 		if until, ok := w.pending[key]; !ok || now.After(until) {
 			delete(w.keys, id)
@@ -122,9 +124,10 @@
 	}
 }
 
-// Publish writes a record on behalf of by and waits for its outcome.
+// Publish writes a record on behalf of by and waits for its result.
 //
-// The error is a *fleet.Refusal, serve.ErrUnknownResult, or one after which nothing was written. The same ID is folded once.
+// The error is a *fleet.Refusal, wraps serve.ErrUnknownResult, or means that nothing was written. Records with the same ID are
+// applied once.
 func (c *Controller) Publish(ctx context.Context, by string, r fleet.Record) (fleet.Result, error) {
 	if r.ID == "" {
 		r.ID = rand.Text()
@@ -135,14 +138,15 @@
 		return fleet.Result{}, err
 	}
 	wait := make(chan fleet.Result, 1)
-	if err := c.do(ctx, func() { c.await(r.ID, wait) }); err != nil {
+	if err := c.do(ctx, func() { c.registerWaiter(r.ID, wait) }); err != nil {
 		return fleet.Result{}, err
 	}
 	defer func() { _ = c.post(c.ctx, func() { delete(c.writer.waiters, r.ID) }) }()
-	return c.appendUntil(ctx, r.ID, data, wait)
+	return c.appendUntilRead(ctx, r.ID, data, wait)
 }
 
-func (c *Controller) await(id string, wait chan fleet.Result) {
+// registerWaiter makes the result of the record go to the channel, at once if the record has been applied already.
+func (c *Controller) registerWaiter(id string, wait chan fleet.Result) {
 	if c.tables != nil {
 		if res := c.tables.Result(id); res != nil {
 			wait <- *res
@@ -152,15 +156,15 @@
 	c.writer.waiters[id] = wait
 }
 
-// appendUntil sends the record until it is read back; only the fold's answer counts.
-func (c *Controller) appendUntil(ctx context.Context, id string, data []byte, wait chan fleet.Result) (fleet.Result, error) {
-	mayBeThere := false
+// appendUntilRead appends the record repeatedly until it is read back from the log, because only applying it gives its result.
+func (c *Controller) appendUntilRead(ctx context.Context, id string, data []byte, wait chan fleet.Result) (fleet.Result, error) {
+	mayBeWritten := false
 	for {
 		_, err := c.Log.Append(ctx, [][]byte{data})
-		mayBeThere = mayBeThere || err == nil || errors.Is(err, feed.ErrUncertain)
-		pause := repeatTime
+		mayBeWritten = mayBeWritten || err == nil || errors.Is(err, feed.ErrUncertain)
+		pause := retryPause
 		if err == nil {
-			pause = pendingTime // it is in the log: only its reading is awaited
+			pause = pendingTimeout // the record is in the log and only has to be read back
 		}
 		select {
 		case res := <-wait:
@@ -169,7 +173,7 @@
 			}
 			return res, nil
 		case <-ctx.Done():
-			if mayBeThere {
+			if mayBeWritten {
 				return fleet.Result{ID: id}, fmt.Errorf("%w: id %s", serve.ErrUnknownResult, id)
 			}
 			return fleet.Result{ID: id}, fmt.Errorf("nothing was written: %w", err)
