--- a/claim/registry.go
+++ b/claim/registry.go
@@ -160,9 +160,9 @@
 	case c.NotAfter > now.Add(MaxAhead).UnixMilli():
 		return fmt.Errorf("%w: not-after is more than %s ahead", ErrNotClaimed, MaxAhead)
 	case c.NotAfter <= r.incompleteUpTo:
-		return fmt.Errorf("%w: claims with this not-after may be in records that the log has dropped", ErrNotClaimed)
+		return fmt.Errorf("%w: the log no longer keeps every claim that could carry this not-after", ErrNotClaimed)
 	case now.Before(r.retryAt):
-		return fmt.Errorf("%w: the claims log is unreachable", ErrNotClaimed)
+		return fmt.Errorf("%w: the log is not reachable", ErrNotClaimed)
 	}
 	if !r.retryAt.IsZero() {
 		r.retryAt = now.Add(RetryPause) // only this claim tries the log; others are refused until it succeeds
--- a/control/controller.go
+++ b/control/controller.go
@@ -91,7 +91,7 @@
 }
 
 // ErrStopped is returned after the Controller has stopped.
-var ErrStopped = errors.New("the entry is stopping; retry at another entry")
+var ErrStopped = errors.New("the entry is stopping; ask another entry")
 
 // Init initialises the Controller; it must be called before any other method.
 func (c *Controller) Init() {
--- a/route/errors.go
+++ b/route/errors.go
@@ -30,13 +30,13 @@
 func (e *RefusedError) Error() string {
 	switch e.Kind {
 	case KindFull:
-		return fmt.Sprintf("the queue is full; retry in %s", e.RetryAfter)
+		return fmt.Sprintf("the queue is full; come back in %s", e.RetryAfter)
 	case KindNoTarget:
-		return "no target of the service is available here; retry later"
+		return "no target of the service is available here; come back later"
 	case KindDeadline:
-		return fmt.Sprintf("no slot becomes free before the deadline; retry in %s or set a later deadline", e.RetryAfter)
+		return fmt.Sprintf("no slot becomes free before the deadline; come back in %s or allow more time", e.RetryAfter)
 	case KindMoved:
 		return "another entry runs the service's gate now; send the request there"
 	}
-	return "the request was cancelled by the caller"
+	return "the caller has gone"
 }
