--- a/control/execute.go
+++ b/control/execute.go
@@ -132,7 +132,7 @@
 
 // runCommand sends the command and polls the platform until the command has ended.
 func (c *Controller) runCommand(ctx context.Context, cmd plan.Command, order provider.Command, about event.Subject) {
-	state, err := c.Platform.Run(ctx, cmd.Instance, cmd.ID, order)
+	state, err := c.Platform.RunCommand(ctx, cmd.Instance, cmd.ID, order)
 	if err != nil {
 		c.Events.Emit(event.CommandUncertain, about, err.Error())
 	}
@@ -158,5 +158,5 @@
 	case provider.CommandExpired:
 		return plan.CommandExpired
 	}
-	return plan.CommandAbsent
+	return plan.CommandUnknown
 }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -54,7 +54,7 @@
 		c.members.own = own
 		c.members.byEntry[c.Self.ID] = &member{status: own, heardAt: now}
 	}
-	for _, p := range c.Mesh.Up() {
+	for _, p := range c.Mesh.ConnectedPeers() {
 		c.gossipTo(p, now, draining)
 	}
 }
--- a/control/hold.go
+++ b/control/hold.go
@@ -105,7 +105,7 @@
 	}
 	go func() {
 		defer cancel()
-		reports, err := c.Platform.Hold(ctx, instance, order)
+		reports, err := c.Platform.RenewLeases(ctx, instance, order)
 		_ = c.post(c.ctx, func() { // post fails only when the entry stops
 			if h.cancel != nil && h.calls == call { // otherwise the call was aborted
 				c.handleHoldReports(instance, h, jobs, reports, err)
--- a/control/jobs.go
+++ b/control/jobs.go
@@ -35,7 +35,7 @@
 	if !c.jobs.pending {
 		return place.Decisions{}
 	}
-	return place.Decide(c.tables, place.Options{Most: maxStartsPerTick, Until: plan.Turns(c.tables, c.Costs)})
+	return place.Decide(c.tables, place.Options{MaxStarts: maxStartsPerTick, UntilDrain: plan.TimeToTakeOut(c.tables, c.Costs)})
 }
 
 // writeDecisions writes the decisions about pending jobs to the log.
@@ -64,7 +64,9 @@
 }
 
 // maxJobWait returns how long a plan waits for a job to end before the job is moved, by the weights of the configuration.
-func (c *Controller) maxJobWait() time.Duration { return c.Costs.Wait(c.tables.Configuration.Weights) }
+func (c *Controller) maxJobWait() time.Duration {
+	return c.Costs.JobWait(c.tables.Configuration.Weights)
+}
 
 // SubmitJob implements the Submit function of serve.Jobs.
 func (c *Controller) SubmitJob(ctx context.Context, team string, spec fleet.JobSpec) error {
--- a/control/members.go
+++ b/control/members.go
@@ -138,12 +138,12 @@
 // neighbours returns the live and linked entries of this data centre, and the number of entries that may be running there: the
 // live ones and those in the tables that are not known to have gone or stopped.
 func (m *members) neighbours(c *Controller) (live []string, known int) {
-	up := c.Mesh.Up()
+	up := c.Mesh.ConnectedPeers()
 	live = slices.DeleteFunc(m.liveIn(c, c.Self.DataCentre), func(id string) bool {
 		return id != c.Self.ID && !slices.Contains(up, id)
 	})
 	known = len(live)
-	gone := c.Mesh.Gone()
+	gone := c.Mesh.ExitedPeers()
 	for id, e := range c.tables.Entries.All {
 		if e.DataCentre == c.Self.DataCentre && !slices.Contains(live, id) && !slices.Contains(gone, id) && !m.stopped(id, e.Boot) {
 			known++
--- a/control/observe.go
+++ b/control/observe.go
@@ -13,9 +13,9 @@
 
 // listing is the state derived from the platform's instance list.
 type listing struct {
-	rows map[string]provider.Listed
+	rows map[string]provider.Instance
 	// latest is the latest response, whether it was plausible or not.
-	latest []provider.Listed
+	latest []provider.Instance
 	// seen holds the incarnations of entries that the list has contained; unseen holds since when it has lacked a joined one.
 	seen   map[incarnation]bool
 	unseen map[incarnation]time.Time
@@ -32,7 +32,7 @@
 const confirmationsNeeded = 3
 
 // plausible reports whether the response may replace the previous one.
-func (l *listing) plausible(fresh map[string]provider.Listed) bool {
+func (l *listing) plausible(fresh map[string]provider.Instance) bool {
 	kept := 0
 	for id := range l.rows {
 		if _, ok := fresh[id]; ok {
@@ -85,7 +85,7 @@
 }
 
 // listPause returns the time until the next read of the list.
-func listPause(l provider.List) time.Duration {
+func listPause(l provider.InstanceList) time.Duration {
 	each := bytesPerInstance
 	if l.Compressed {
 		each = bytesPerCompressedInstance
@@ -95,7 +95,7 @@
 }
 
 // handleList handles a response of the instance list, or the error of reading it.
-func (c *Controller) handleList(list provider.List, err error) {
+func (c *Controller) handleList(list provider.InstanceList, err error) {
 	c.setPlatformReachable(err == nil)
 	if err != nil {
 		return // the previous list stays in use; it only lacks the changes since
@@ -108,7 +108,7 @@
 		rows = c.list.latest
 	}
 	c.list.latest = rows
-	byID := make(map[string]provider.Listed, len(rows))
+	byID := make(map[string]provider.Instance, len(rows))
 	for _, r := range rows {
 		byID[r.ID] = r
 	}
@@ -131,7 +131,7 @@
 }
 
 // differs reports whether the instances differ from the known ones in a way that affects routing.
-func (l *listing) differs(fresh map[string]provider.Listed) bool {
+func (l *listing) differs(fresh map[string]provider.Instance) bool {
 	if len(l.rows) != len(fresh) {
 		return true
 	}
--- a/control/reader.go
+++ b/control/reader.go
@@ -25,17 +25,17 @@
 // followFleetLog reads the fleet log until the context ends.
 func (c *Controller) followFleetLog(ctx context.Context) {
 	r := feed.Reader{Log: c.Log}
-	r.Page = func(ctx context.Context, p feed.Page) (next int64, err error) {
+	r.OnPage = func(ctx context.Context, p feed.Page) (next int64, err error) {
 		if err := c.do(ctx, func() { next, err = c.handlePage(p) }); err != nil {
 			return 0, err
 		}
 		return next, err
 	}
-	r.Trimmed = func(ctx context.Context, first int64) (next int64, err error) {
+	r.OnTrimmed = func(ctx context.Context, first int64) (next int64, err error) {
 		c.Events.Emit(event.LogTrimmed, event.Subject{}, fmt.Sprintf("the log begins at %d", first))
 		return c.handleTrim(ctx, first)
 	}
-	r.Failed = c.handleReadFailure
+	r.OnError = c.handleReadFailure
 	_ = r.Run(ctx) // Run ends only with the context
 }
 
@@ -191,7 +191,7 @@
 func (c *Controller) followClaims(ctx context.Context) {
 	started := false
 	r := feed.Reader{Log: c.Claims}
-	r.Page = func(_ context.Context, p feed.Page) (int64, error) {
+	r.OnPage = func(_ context.Context, p feed.Page) (int64, error) {
 		next := p.Next
 		if len(p.Records) > 0 {
 			next = p.Records[len(p.Records)-1].Offset + 1
@@ -208,10 +208,10 @@
 		c.Book.SetReady(next >= p.Next)
 		return next, nil
 	}
-	r.Trimmed = func(_ context.Context, first int64) (int64, error) {
+	r.OnTrimmed = func(_ context.Context, first int64) (int64, error) {
 		c.Book.Gap()
 		return first, nil
 	}
-	r.Failed = func(_ context.Context, next int64, _ error) int64 { return next }
+	r.OnError = func(_ context.Context, next int64, _ error) int64 { return next }
 	_ = r.Run(ctx) // Run ends only with the context
 }
--- a/control/status.go
+++ b/control/status.go
@@ -52,7 +52,7 @@
 	st.Version, st.Offset = t.Version, t.Offset
 	for i := range t.Configuration.Services {
 		s := &t.Configuration.Services[i]
-		st.Services = append(st.Services, admin.ServiceStatus{Service: s.Name, Pool: s.Pool, Margin: t.Spare(s.Budget()).Least()})
+		st.Services = append(st.Services, admin.ServiceStatus{Service: s.Name, Pool: s.Pool, Margin: t.Spare(s.Budget()).Min()})
 	}
 	for _, team := range t.Configuration.Teams {
 		if cores := t.TeamCores(team.Name); cores > 0 {
--- a/control/tail.go
+++ b/control/tail.go
@@ -80,7 +80,7 @@
 
 // catchUp requests the part of the fleet log that this entry lacks from the linked peers.
 func (c *Controller) catchUp(ctx context.Context) {
-	for _, entry := range c.Mesh.Up() {
+	for _, entry := range c.Mesh.ConnectedPeers() {
 		after := int64(-1)
 		if c.do(ctx, func() {
 			if c.tables != nil {
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -118,7 +118,7 @@
 // shouldMove reports whether a job on a draining instance is to be moved instead of being waited for.
 func (c *Controller) shouldMove(id string, j *fleet.Job) bool {
 	seen := c.tasks.usage[id]
-	return seen == nil || plan.Leaves(j, seen.ran(time.Now()), c.maxJobWait())
+	return seen == nil || plan.ShouldMove(j, seen.ran(time.Now()), c.maxJobWait())
 }
 
 // callTask makes a single-task call for an attempt if one is due.
--- a/control/usage.go
+++ b/control/usage.go
@@ -41,7 +41,7 @@
 	if report != nil {
 		u.latest[u.next] = *report
 		u.next = (u.next + 1) % usageReports
-		u.reportedRun, u.reportedAt = report.Ran, now
+		u.reportedRun, u.reportedAt = report.RunTime, now
 	}
 	return u
 }
@@ -57,8 +57,8 @@
 }
 
 // peak returns the largest cores and memory of the latest reports, with the latest run time.
-func (u *usage) peak() place.Seen {
-	s := place.Seen{Ran: u.reportedRun}
+func (u *usage) peak() place.Usage {
+	s := place.Usage{Ran: u.reportedRun}
 	for _, r := range u.latest {
 		s.Cores = max(s.Cores, r.Cores)
 		s.MemoryMB = max(s.MemoryMB, r.MemoryMB)
--- a/control/view.go
+++ b/control/view.go
@@ -98,7 +98,7 @@
 	for _, id := range sortedKeys(held) {
 		m.heldSlots += id + "=" + itoa(held[id]) + " "
 	}
-	m.linked = strings.Join(c.Mesh.Up(), " ")
+	m.linked = strings.Join(c.Mesh.ConnectedPeers(), " ")
 	return m
 }
 
@@ -114,7 +114,7 @@
 	if v.Organisations, err = t.Configuration.Organisations(); err != nil {
 		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error()) // no caller is authorised until the configuration is corrected
 	}
-	for _, id := range c.Mesh.Up() {
+	for _, id := range c.Mesh.ConnectedPeers() {
 		if e := c.members.byEntry[id]; e != nil && !e.status.Stopping {
 			v.Entries[e.status.DataCentre] = append(v.Entries[e.status.DataCentre], id)
 		}
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -126,7 +126,7 @@
 		}
 		*x.into = ln
 	}
-	server, err := s.TLS.Server()
+	server, err := s.TLS.ServerConfig()
 	if err != nil {
 		l.close()
 		return listeners{}, nil, err
@@ -138,17 +138,17 @@
 }
 
 func newMesh(s config.Settings, self fleet.Entry, l listeners, events *event.Ring, m meters, o Options) (*peer.Mesh, error) {
-	secret, err := s.Secret()
+	secret, err := s.LoadPeerSecret()
 	if err != nil {
 		return nil, err
 	}
-	links, err := s.TLS.Peers()
+	links, err := s.TLS.PeerConfig()
 	if err != nil {
 		return nil, err
 	}
 	return &peer.Mesh{
 		Self: peer.Identity{Entry: self.ID, DataCentre: self.DataCentre, Boot: self.Boot}, Secret: secret, TLS: links,
-		Listener: l.peer, Dial: o.Dial, Cut: o.Cut, Events: events, Meter: m.peers,
+		Listener: l.peer, Dial: o.Dial, Partitioned: o.Cut, Events: events, Meter: m.peers,
 	}, nil
 }
 
@@ -182,8 +182,8 @@
 
 func newAdmin(s config.Settings, c *control.Controller, m metrics) *admin.Server {
 	return &admin.Server{
-		Bootstrap: s.BootstrapTokenHash, Metrics: m.handler, Publish: c.Publish, Read: c.Read, Status: c.Status,
-		Plan: func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error) {
+		BootstrapTokenHash: s.BootstrapTokenHash, Metrics: m.handler, Publish: c.Publish, ReadTables: c.Read, Status: c.Status,
+		MakePlan: func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error) {
 			return plan.Make(t, id, intent, c.Costs)
 		},
 		TimeLine: c.TimeLine,
--- a/entry/traffic.go
+++ b/entry/traffic.go
@@ -34,7 +34,7 @@
 }
 
 func (n *Node) tellUses() {
-	uses := n.traffic.Take()
+	uses := n.traffic.Reset()
 	share := n.linkShare(float64(uses.Bytes()) / trafficEvery.Seconds())
 	if n.metrics.scope != nil {
 		for kind, u := range uses {
--- a/serve/auth.go
+++ b/serve/auth.go
@@ -16,5 +16,5 @@
 
 // team returns the caller's team, or nil when its token is not known.
 func (v *View) team(r *http.Request) *org.Organisation {
-	return v.Organisations.Who(org.KeyOf(r.Header.Get("Authorization")))
+	return v.Organisations.ByKey(org.KeyOf(r.Header.Get("Authorization")))
 }
