--- a/route/errors.go
+++ b/route/errors.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind tells refusals of a Gate apart.
+// Kind is the reason for which a Gate refused a request.
 type Kind string
 
 // Kinds of a RefusedError.
@@ -19,14 +19,14 @@
 	KindMoved    Kind = "moved"
 )
 
-// RefusedError says that a request was not dispatched.
+// RefusedError is returned for a request that was not dispatched.
 type RefusedError struct {
 	Kind Kind
-	// RetryAfter is when it is worth coming back; 0 when waiting does not help.
+	// RetryAfter is the time after which a retry may succeed; 0 when waiting does not help.
 	RetryAfter time.Duration
 }
 
-// Error returns the kind and the remedy.
+// Error returns the reason and the remedy.
 func (e *RefusedError) Error() string {
 	switch e.Kind {
 	case KindFull:
