--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -135,7 +135,7 @@
 // memoryLog is a Registry whose log is a slice in memory.
 type memoryLog struct {
 	mu       sync.Mutex
-	registry Book
+	registry Registry
 	log      [][]byte
 	fail     error
 }
--- a/claim/registry.go
+++ b/claim/registry.go
@@ -17,7 +17,7 @@
 var ErrNotClaimed = errors.New("the claims log gave no verdict in time; the request did not run here, send it again with the same key")
 
 // Registry acquires, completes and releases claims for one entry: it applies the claims log and appends to it.
-type Book struct {
+type Registry struct {
 	// Append appends one record to the claims log. It returns feed.ErrUnavailable when the record was certainly not appended;
 	// after any other error it may have been.
 	Append func(ctx context.Context, data []byte) error
@@ -60,7 +60,7 @@
 	maxClockSkew = time.Minute
 )
 
-func (r *Book) now() time.Time {
+func (r *Registry) now() time.Time {
 	if r.Clock != nil {
 		return r.Clock()
 	}
@@ -71,7 +71,7 @@
 //
 // When earlier records were dropped from the log, their claims are unknown. Claims whose NotAfter is early enough that such a
 // claim could hold the same key are refused.
-func (r *Book) StartAt(offset int64, first []byte) {
+func (r *Registry) StartAt(offset int64, first []byte) {
 	if offset == 0 {
 		return
 	}
@@ -83,31 +83,31 @@
 }
 
 // Gap reports that the log dropped records before this entry read them.
-func (r *Book) Gap() { r.refuseUpTo(r.now().UnixMilli()) }
+func (r *Registry) Gap() { r.refuseUpTo(r.now().UnixMilli()) }
 
 // refuseUpTo refuses every claim whose key could have been claimed before the time, in Unix milliseconds.
-func (r *Book) refuseUpTo(at int64) {
+func (r *Registry) refuseUpTo(at int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.incompleteUpTo = max(r.incompleteUpTo, at+(MaxAhead+maxClockSkew).Milliseconds())
 }
 
 // SetReady reports whether the log has been read to its end; claims are refused while it has not.
-func (r *Book) SetReady(ready bool) {
+func (r *Registry) SetReady(ready bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ready = ready
 }
 
 // Len returns the number of claims kept.
-func (r *Book) Len() int {
+func (r *Registry) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tables.Len()
 }
 
 // Lookup returns the verdict on the claim without acquiring its key, and false when nobody holds the key.
-func (r *Book) Look(c Claim) (Verdict, bool) {
+func (r *Registry) Lookup(c Claim) (Verdict, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tables.Lookup(c)
@@ -116,7 +116,7 @@
 // Claim appends the claim to the log and waits for the verdict. It returns ErrNotClaimed when there is none in time.
 //
 // After an error, the caller must not dispatch the request.
-func (r *Book) Claim(ctx context.Context, c Claim) (Verdict, error) {
+func (r *Registry) Claim(ctx context.Context, c Claim) (Verdict, error) {
 	w, verdict, err := r.enqueue(c)
 	if w == nil {
 		return verdict, err
@@ -132,7 +132,7 @@
 }
 
 // enqueue queues the claim and returns its waiter, or returns a verdict or an error when the claim need not be appended.
-func (r *Book) enqueue(c Claim) (*waiter, Verdict, error) {
+func (r *Registry) enqueue(c Claim) (*waiter, Verdict, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v, ok := r.tables.Lookup(c); ok && v.Kind != Won {
@@ -152,7 +152,7 @@
 }
 
 // checkClaimable returns the reason for which the claim can't be appended now, or nil. mu must be held.
-func (r *Book) checkClaimable(c Claim) error {
+func (r *Registry) checkClaimable(c Claim) error {
 	now := r.now()
 	switch {
 	case !r.ready:
@@ -172,7 +172,7 @@
 
 // giveUp abandons the claim so that a later copy of the request can run: the claim is not appended if it has not been yet, and
 // otherwise released if it wins.
-func (r *Book) giveUp(c Claim, w *waiter, cause error) (Verdict, error) {
+func (r *Registry) giveUp(c Claim, w *waiter, cause error) (Verdict, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -192,7 +192,7 @@
 const maxAbandoned = 10_000
 
 // withdraw removes a claim that has not been appended, or else tracks it as abandoned until its verdict is known.
-func (r *Book) withdraw(c Claim) {
+func (r *Registry) withdraw(c Claim) {
 	before := len(r.claims)
 	r.claims = slices.DeleteFunc(r.claims, func(o Claim) bool { return o.Token == c.Token })
 	if len(r.claims) < before {
@@ -205,14 +205,14 @@
 }
 
 // Complete records the status of the complete response for a claim that this entry won.
-func (r *Book) Complete(c Claim, status int) {
+func (r *Registry) Complete(c Claim, status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enqueueCompletion(Completion{Key: c.Key, Token: c.Token, Status: status})
 }
 
 // Release releases a claim that this entry won, if the request has not been dispatched and never will be.
-func (r *Book) Release(c Claim) {
+func (r *Registry) Release(c Claim) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.enqueueCompletion(Completion{Key: c.Key, Token: c.Token})
@@ -223,7 +223,7 @@
 const maxPendingCompletions = 100_000
 
 // enqueueCompletion queues the completion for the next append. mu must be held.
-func (r *Book) enqueueCompletion(c Completion) {
+func (r *Registry) enqueueCompletion(c Completion) {
 	if len(r.completions) < maxPendingCompletions {
 		r.completions = append(r.completions, c)
 	}
@@ -231,7 +231,7 @@
 }
 
 // Apply applies a record of the claims log. Every record must be applied once, in the order of the log.
-func (r *Book) Apply(data []byte) error {
+func (r *Registry) Apply(data []byte) error {
 	batch, err := DecodeBatch(data)
 	if err != nil {
 		return err
@@ -243,7 +243,7 @@
 }
 
 // deliver passes the verdict to the waiter, or releases an abandoned claim that won. mu must be held.
-func (r *Book) deliver(c Claim, v Verdict) {
+func (r *Registry) deliver(c Claim, v Verdict) {
 	if r.abandoned[c.Token] {
 		delete(r.abandoned, c.Token)
 		if v.Kind == Won {
@@ -258,7 +258,7 @@
 }
 
 // Run appends pending claims and completions until the context ends and returns the context's error.
-func (r *Book) Run(ctx context.Context) error {
+func (r *Registry) Run(ctx context.Context) error {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	for {
@@ -280,7 +280,7 @@
 }
 
 // wakeups returns a channel that is readable when claims or completions are pending.
-func (r *Book) wakeups() <-chan struct{} {
+func (r *Registry) wakeups() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.wakeup == nil {
@@ -293,7 +293,7 @@
 }
 
 // signal wakes Run. mu must be held.
-func (r *Book) signal() {
+func (r *Registry) signal() {
 	select {
 	case r.wakeup <- struct{}{}:
 	default:
@@ -302,13 +302,13 @@
 
 // SetEntries sets the number of entries that share the log. The interval between appends is chosen so that all entries
 // together stay within MaxSiteAppends.
-func (r *Book) SetEntries(n int) {
+func (r *Registry) SetEntries(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.entries = n
 }
 
-func (r *Book) interval() time.Duration {
+func (r *Registry) interval() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	interval := r.Interval
@@ -319,13 +319,13 @@
 }
 
 // backingOff reports whether only completions are pending and the pause after a failed append has not ended.
-func (r *Book) backingOff() bool {
+func (r *Registry) backingOff() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.claims) == 0 && r.now().Before(r.retryAt)
 }
 
-func (r *Book) flush(ctx context.Context) {
+func (r *Registry) flush(ctx context.Context) {
 	batch := r.nextBatch()
 	if len(batch.Claims) == 0 && len(batch.Completions) == 0 {
 		return
@@ -337,7 +337,7 @@
 	r.finishAppend(batch, err)
 }
 
-func (r *Book) nextBatch() Batch {
+func (r *Registry) nextBatch() Batch {
 	limit := r.MaxBatch
 	if limit == 0 {
 		limit = DefaultMaxBatch
@@ -354,7 +354,7 @@
 
 // finishAppend handles the result of an append. When the batch is certainly not in the log, it fails all waiters of claims that
 // have not been appended; after any error, it queues the batch's completions again.
-func (r *Book) finishAppend(batch Batch, err error) {
+func (r *Registry) finishAppend(batch Batch, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -74,7 +74,7 @@
 	}
 	c.checkpointState.writing = true
 	go func() {
-		_, err := c.Log.Append(c.ctx, [][]byte{data})
+		_, err := c.FleetLog.Append(c.ctx, [][]byte{data})
 		_ = c.post(c.ctx, func() { // post fails only when the entry stops
 			c.checkpointState.writing = false
 			if err == nil {
--- a/control/controller.go
+++ b/control/controller.go
@@ -33,14 +33,14 @@
 	Self fleet.Entry
 	// Seeds are the peers to contact before the tables are known.
 	Seeds []Seed
-	// Log is the fleet log, Claims the claims log.
-	Log, Claims *feed.Log
-	Platform    *provider.Client
-	Mesh        *peer.Mesh
-	Server      *serve.Server
-	Book        *claim.Book
-	Events      *event.Ring
-	Costs       plan.Costs
+	// FleetLog is the fleet log, Claims the claims log.
+	FleetLog, ClaimsLog *feed.Log
+	Platform            *provider.Client
+	Mesh                *peer.Mesh
+	Server              *serve.Server
+	Registry            *claim.Registry
+	Events              *event.Ring
+	Costs               plan.Costs
 	// PeerMeter and PlatformMeter count the bytes exchanged with peers and with the platform's services; may be nil.
 	PeerMeter, PlatformMeter *meter.Meter
 	// Tick is the time between two runs of the control loops; DefaultTick when 0.
--- a/control/reader.go
+++ b/control/reader.go
@@ -24,7 +24,7 @@
 
 // followFleetLog reads the fleet log until the context ends.
 func (c *Controller) followFleetLog(ctx context.Context) {
-	r := feed.Reader{Log: c.Log}
+	r := feed.Reader{Log: c.FleetLog}
 	r.OnPage = func(ctx context.Context, p feed.Page) (next int64, err error) {
 		if err := c.do(ctx, func() { next, err = c.handlePage(p) }); err != nil {
 			return 0, err
@@ -190,7 +190,7 @@
 // followClaims reads the claims log until the context ends.
 func (c *Controller) followClaims(ctx context.Context) {
 	started := false
-	r := feed.Reader{Log: c.Claims}
+	r := feed.Reader{Log: c.ClaimsLog}
 	r.OnPage = func(_ context.Context, p feed.Page) (int64, error) {
 		next := p.Next
 		if len(p.Records) > 0 {
@@ -199,17 +199,17 @@
 		for _, e := range p.Records {
 			if !started {
 				started = true
-				c.Book.StartAt(e.Offset, e.Data)
+				c.Registry.StartAt(e.Offset, e.Data)
 			}
-			if err := c.Book.Apply(e.Data); err != nil {
+			if err := c.Registry.Apply(e.Data); err != nil {
 				c.Events.Emit(event.ClaimsUnreadable, event.Subject{}, err.Error())
 			}
 		}
-		c.Book.SetReady(next >= p.Next)
+		c.Registry.SetReady(next >= p.Next)
 		return next, nil
 	}
 	r.OnTrimmed = func(_ context.Context, first int64) (int64, error) {
-		c.Book.Gap()
+		c.Registry.Gap()
 		return first, nil
 	}
 	r.OnError = func(_ context.Context, next int64, _ error) int64 { return next }
--- a/control/status.go
+++ b/control/status.go
@@ -19,7 +19,7 @@
 func (c *Controller) Status(ctx context.Context) (admin.Status, error) {
 	st := admin.Status{Entry: c.Self.ID, Offset: -1, Jobs: make(admin.JobCounts)}
 	st.InFlight, st.Waiting, st.Slots = c.Server.Load()
-	st.Claims = c.Book.Len()
+	st.Claims = c.Registry.Len()
 	if c.PeerMeter != nil {
 		st.PeerIn, st.PeerOut = c.PeerMeter.Bytes()
 	}
--- a/control/view.go
+++ b/control/view.go
@@ -41,7 +41,7 @@
 	}
 	v := c.view(now)
 	c.Server.SetView(v)
-	c.Book.SetEntries(c.tables.Entries.Len())
+	c.Registry.SetEntries(c.tables.Entries.Len())
 	c.viewCurrent, c.viewMembership = true, now
 	if old == nil || old.Version != v.Version {
 		c.Events.Emit(event.ConfigurationInForce, event.Subject{}, versionText(v.Version))
--- a/control/writer.go
+++ b/control/writer.go
@@ -57,7 +57,7 @@
 		sleep(ctx, writeInterval)
 		batch = w.fillBatch(batch)
 		// The records of a lost batch are written again by the control loops on a later tick.
-		if _, err := w.c.Log.Append(ctx, batch); err != nil && !errors.Is(err, feed.ErrUncertain) {
+		if _, err := w.c.FleetLog.Append(ctx, batch); err != nil && !errors.Is(err, feed.ErrUncertain) {
 			sleep(ctx, retryPause)
 		}
 	}
@@ -160,7 +160,7 @@
 func (c *Controller) appendUntilRead(ctx context.Context, id string, data []byte, wait chan fleet.Result) (fleet.Result, error) {
 	mayBeWritten := false
 	for {
-		_, err := c.Log.Append(ctx, [][]byte{data})
+		_, err := c.FleetLog.Append(ctx, [][]byte{data})
 		mayBeWritten = mayBeWritten || err == nil || errors.Is(err, feed.ErrUncertain)
 		pause := retryPause
 		if err == nil {
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -152,22 +152,22 @@
 	}, nil
 }
 
-func newBook(l logs, clock *feed.Clock) *claim.Book {
-	return &claim.Book{Append: l.claims.AppendOne, Clock: clock.Now}
+func newBook(l logs, clock *feed.Clock) *claim.Registry {
+	return &claim.Registry{Append: l.claims.AppendOne, Clock: clock.Now}
 }
 
 func newDispatcher(o Options) *serve.Dispatcher { return &serve.Dispatcher{Dial: o.Dial} }
 
-func newServer(s config.Settings, self fleet.Entry, book *claim.Book, mesh *peer.Mesh, d *serve.Dispatcher, events *event.Ring, m metrics, clock *feed.Clock, o Options) *serve.Server {
+func newServer(s config.Settings, self fleet.Entry, book *claim.Registry, mesh *peer.Mesh, d *serve.Dispatcher, events *event.Ring, m metrics, clock *feed.Clock, o Options) *serve.Server {
 	return &serve.Server{
 		Self: self.ID, DataCentre: self.DataCentre, Boot: self.Boot, Book: book, Mesh: mesh, Targets: d,
 		Events: events, Probe: o.Probe, Metrics: tally.Scope(m.scope), Clock: clock.Now, MaxBody: int64(s.MaxBody),
 	}
 }
 
-func newController(s config.Settings, self fleet.Entry, l logs, p *provider.Client, mesh *peer.Mesh, server *serve.Server, book *claim.Book, events *event.Ring, clock *feed.Clock, m meters) *control.Controller {
+func newController(s config.Settings, self fleet.Entry, l logs, p *provider.Client, mesh *peer.Mesh, server *serve.Server, book *claim.Registry, events *event.Ring, clock *feed.Clock, m meters) *control.Controller {
 	c := &control.Controller{
-		Self: self, Log: l.fleet, Claims: l.claims, Platform: p, Mesh: mesh, Server: server, Book: book, Events: events,
+		Self: self, FleetLog: l.fleet, ClaimsLog: l.claims, Platform: p, Mesh: mesh, Server: server, Registry: book, Events: events,
 		PeerMeter: m.peers, PlatformMeter: m.platform,
 		Costs: plan.Costs{Maintenance: s.Maintenance.Std()}, CheckpointEvery: s.CheckpointEvery.Std(), Clock: clock.Now,
 	}
--- a/route/budget.go
+++ b/route/budget.go
@@ -22,7 +22,7 @@
 )
 
 // Deposit adds the share of one first attempt to the budget.
-func (b *RetryBudget) First() {
+func (b *RetryBudget) Deposit() {
 	ratio, burst := b.Ratio, b.Burst
 	if ratio == 0 {
 		ratio = DefaultRetryRatio
@@ -36,7 +36,7 @@
 }
 
 // TryWithdraw takes one retry from the budget and reports whether the balance allowed it.
-func (b *RetryBudget) Retry() bool {
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.balance < 1 {
--- a/route/gate.go
+++ b/route/gate.go
@@ -37,7 +37,7 @@
 	// Queue is the number of requests that may wait.
 	Queue int
 	// Moved reports that another entry now runs the service's Gate; waiting requests are refused with KindMoved.
-	Elsewhere bool
+	Moved bool
 }
 
 // Gate assigns the slots of one service's targets to requests.
@@ -47,7 +47,7 @@
 	// After calls f after the duration; time.AfterFunc when nil.
 	After func(d time.Duration, f func())
 	// HealthChanged is called when a target becomes unhealthy or recovers; may be nil.
-	Changed func(instance string, unhealthy bool)
+	HealthChanged func(instance string, unhealthy bool)
 
 	mu              sync.Mutex
 	limits          Limits
@@ -169,12 +169,12 @@
 	case <-timeout:
 		return g.withdraw(w, KindDeadline)
 	case <-ctx.Done():
-		return g.withdraw(w, KindGone)
+		return g.withdraw(w, KindCancelled)
 	}
 }
 
 // HasFreeSlot reports whether the request would get a slot without waiting.
-func (g *Gate) Free(r Request) bool {
+func (g *Gate) HasFreeSlot(r Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.bypassesQueue(r) && g.pickTarget(r, g.now()) != nil
@@ -260,7 +260,7 @@
 }
 
 func (g *Gate) noTargetError() *RefusedError {
-	if g.limits.Elsewhere {
+	if g.limits.Moved {
 		return &RefusedError{Kind: KindMoved}
 	}
 	return &RefusedError{Kind: KindNoTarget}
--- a/route/lease.go
+++ b/route/lease.go
@@ -31,7 +31,7 @@
 	g.scheduleWake(now)
 	unhealthy := s.unhealthy
 	g.mu.Unlock()
-	if changed && g.Changed != nil {
-		g.Changed(s.Instance, unhealthy)
+	if changed && g.HealthChanged != nil {
+		g.HealthChanged(s.Instance, unhealthy)
 	}
 }
--- a/route/sharing_bench_test.go
+++ b/route/sharing_bench_test.go
@@ -131,7 +131,7 @@
 
 // submitIfFree sends a request to a gate if the gate has a free slot, and reports whether it did.
 func (s *sim) submitIfFree(g *Gate, arrived, extra, work time.Duration) bool {
-	if !g.Free(Request{Team: "t"}) {
+	if !g.HasFreeSlot(Request{Team: "t"}) {
 		return false
 	}
 	s.submit(g, arrived, extra, work)
--- a/serve/run.go
+++ b/serve/run.go
@@ -104,7 +104,7 @@
 		return false
 	}
 	if p.Outcome != OutcomeNotRun {
-		return r.Repeatable && p.Reason == ReasonRelay && s.gateOf(r.Service.Name).retries.Retry()
+		return r.Repeatable && p.Reason == ReasonRelay && s.gateOf(r.Service.Name).retries.TryWithdraw()
 	}
 	switch p.Reason {
 	case ReasonBusy, ReasonNoTarget, ReasonQueueFull, ReasonCutOff, ReasonNotOwner, ReasonNotReady, ReasonDeadline, ReasonRefused:
--- a/serve/server.go
+++ b/serve/server.go
@@ -22,7 +22,7 @@
 	// Self is the entry's name, DataCentre its place.
 	Self, DataCentre string
 	// Book makes claims.
-	Book *claim.Book
+	Book *claim.Registry
 	// Mesh reaches the other entries.
 	Mesh *peer.Mesh
 	// Targets sends requests to targets.
@@ -99,7 +99,7 @@
 func (s *Server) MoveView(v *View) { s.view.Store(v) }
 
 func (s *Server) limits(svc *Service) route.Limits {
-	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Elsewhere: svc.Owner != "" && svc.Owner != s.Self}
+	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Moved: svc.Owner != "" && svc.Owner != s.Self}
 }
 
 // routable returns the targets that this entry may give requests to.
@@ -115,7 +115,7 @@
 	g := s.gates[service]
 	if g == nil {
 		g = &gate{}
-		g.Changed = s.targetChanged
+		g.HealthChanged = s.targetChanged
 		s.gates[service] = g
 	}
 	return g
