--- a/serve/auth.go
+++ b/serve/auth.go
@@ -9,12 +9,12 @@
 	"rackstep.dev/org"
 )
 
-// SameHash compares two token hashes in constant time.
+// EqualTokenHashes compares two token hashes in constant time.
 func SameHash(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
-// team returns the caller's team, or nil when its token is not known.
-func (v *View) team(r *http.Request) *org.Organisation {
+// authenticate returns the team whose token the request carries, or nil when the token is missing or unknown.
+func (v *View) authenticate(r *http.Request) *org.Organisation {
 	return v.Organisations.Who(org.KeyOf(r.Header.Get("Authorization")))
 }
--- a/serve/dispatcher.go
+++ b/serve/dispatcher.go
@@ -21,41 +21,41 @@
 // errNotWritten means that no byte of the request was written to the target.
 var errNotWritten = errors.New("no byte was written to the target")
 
-// Dispatcher sends requests to targets, each at most once.
+// Dispatcher sends requests to targets, each at most once, and follows no redirect.
 //
-// It follows no redirect. A request that is not repeatable gets a connection of its own, on which the
-// transport never sends again; the transport's own replays on reused connections concern repeatable ones only.
+// A request that is not repeatable is sent on a new connection, because http.Transport retries some requests whose reused
+// connection fails. Repeatable requests share keep-alive connections.
 type Dispatcher struct {
-	// DialTimeout bounds a connection's opening; 1s when 0.
+	// DialTimeout limits the time to open a connection; 1s when 0.
 	DialTimeout time.Duration
-	// Dial opens a connection; a net.Dialer's when nil.
+	// Dial opens a connection; a net.Dialer with DialTimeout is used when nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	once   sync.Once
-	pooled *http.Transport
-	single *http.Transport
+	once      sync.Once
+	keepAlive *http.Transport
+	singleUse *http.Transport
 }
 
 const (
-	defaultDial = time.Second
-	idleTimeout = 30 * time.Second
-	idlePerHost = 8
-	headerLimit = 64 << 10
-	dispatchBuf = 4 << 10
+	defaultDialTimeout = time.Second
+	idleTimeout        = 30 * time.Second
+	maxIdlePerTarget   = 8
+	maxResponseHeader  = 64 << 10
+	dispatchBufferSize = 4 << 10
 )
 
-func (d *Dispatcher) start() {
-	d.pooled = d.transport()
-	d.pooled.MaxIdleConnsPerHost = idlePerHost
-	d.pooled.IdleConnTimeout = idleTimeout
-	d.single = d.transport()
-	d.single.DisableKeepAlives = true
+func (d *Dispatcher) initTransports() {
+	d.keepAlive = d.newTransport()
+	d.keepAlive.MaxIdleConnsPerHost = maxIdlePerTarget
+	d.keepAlive.IdleConnTimeout = idleTimeout
+	d.singleUse = d.newTransport()
+	d.singleUse.DisableKeepAlives = true
 }
 
-func (d *Dispatcher) transport() *http.Transport {
+func (d *Dispatcher) newTransport() *http.Transport {
 	timeout := d.DialTimeout
 	if timeout == 0 {
-		timeout = defaultDial
+		timeout = defaultDialTimeout
 	}
 	dial := d.Dial
 	if dial == nil {
@@ -67,40 +67,40 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: c}, nil
+			return &writeCountConn{Conn: c}, nil
 		},
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: headerLimit,
-		WriteBufferSize:        dispatchBuf,
-		ReadBufferSize:         dispatchBuf,
+		MaxResponseHeaderBytes: maxResponseHeader,
+		WriteBufferSize:        dispatchBufferSize,
+		ReadBufferSize:         dispatchBufferSize,
 	}
 }
 
-// CloseIdle closes connections that carry no request.
+// CloseIdle closes the keep-alive connections that carry no request.
 func (d *Dispatcher) CloseIdle() {
-	d.once.Do(d.start)
-	d.pooled.CloseIdleConnections()
+	d.once.Do(d.initTransports)
+	d.keepAlive.CloseIdleConnections()
 }
 
-// send sends the request to the target and returns the head of its answer.
+// send sends the request to the target and returns the response with an unread body.
 //
-// An error that wraps errNotWritten means that the request did not run and will not.
+// An error that wraps errNotWritten means that the request did not run and will not run.
 func (d *Dispatcher) send(ctx context.Context, t route.Target, r *request) (*http.Response, error) {
-	d.once.Do(d.start)
-	var writes writeCheck
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: writes.gotConn})
+	d.once.Do(d.initTransports)
+	var writes writeTracker
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: writes.addConn})
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+t.Address+r.Path, nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errNotWritten, err)
 	}
-	req.Header = d.headers(t, r)
+	req.Header = d.targetHeaders(t, r)
 	if len(r.Body) > 0 {
-		req.Body = io.NopCloser(bytes.NewReader(r.Body)) // without GetBody, so the transport can't send it again
+		req.Body = io.NopCloser(bytes.NewReader(r.Body)) // http.Transport can't resend a body without GetBody
 		req.ContentLength = int64(len(r.Body))
 	}
-	transport := d.pooled
+	transport := d.keepAlive
 	if !r.Repeatable {
-		transport = d.single
+		transport = d.singleUse
 	}
 	resp, err := transport.RoundTrip(req)
 	if err == nil {
@@ -112,7 +112,7 @@
 	return nil, err
 }
 
-func (d *Dispatcher) headers(t route.Target, r *request) http.Header {
+func (d *Dispatcher) targetHeaders(t route.Target, r *request) http.Header {
 	h := make(http.Header, len(r.Header)+4)
 	for name, values := range r.Header {
 		h[name] = values
@@ -126,64 +126,66 @@
 	return h
 }
 
-// countedConn knows whether bytes were written and can refuse further ones.
-type countedConn struct {
+// writeCountConn counts the bytes written to a connection, and rejects writes once it is sealed.
+type writeCountConn struct {
 	net.Conn
 	mu      sync.Mutex
 	written int64
 	sealed  bool
 }
 
-var errSealed = errors.New("the request was given up")
+var errSealed = errors.New("the request was abandoned")
 
 // Write writes p unless the connection is sealed.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *writeCountConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
 		c.mu.Unlock()
 		return 0, errSealed
 	}
-	c.written += int64(len(p)) // counted before it happens: a write that fails half way may have reached the target
+	c.written += int64(len(p)) // before the write: a write that fails may have reached the target in part
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-func (c *countedConn) count() int64 {
+func (c *writeCountConn) writtenBytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-func (c *countedConn) seal() int64 {
+// seal makes all further writes fail and returns the number of bytes written so far.
+func (c *writeCountConn) seal() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
 	return c.written
 }
 
-// writeCheck follows the connections that one request was given.
-type writeCheck struct {
+// writeTracker tracks the connections that http.Transport used for one request.
+type writeTracker struct {
 	mu    sync.Mutex
-	conns []usedConn
+	conns []trackedConn
 }
 
-type usedConn struct {
-	conn  *countedConn
+// trackedConn is a connection and the number of bytes written to it before the request.
+type trackedConn struct {
+	conn  *writeCountConn
 	start int64
 }
 
-func (w *writeCheck) gotConn(info httptrace.GotConnInfo) {
-	c, ok := info.Conn.(*countedConn)
+func (w *writeTracker) addConn(info httptrace.GotConnInfo) {
+	c, ok := info.Conn.(*writeCountConn)
 	if !ok {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.conns = append(w.conns, usedConn{c, c.count()})
+	w.conns = append(w.conns, trackedConn{c, c.writtenBytes()})
 }
 
-// seal stops all further writes of the request and says whether any byte was written.
-func (w *writeCheck) seal() bool {
+// seal makes all further writes of the request fail and reports whether any byte of it was written.
+func (w *writeTracker) seal() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	written := false
--- a/serve/dispatcher_test.go
+++ b/serve/dispatcher_test.go
@@ -18,31 +18,31 @@
 	"rackstep.dev/route"
 )
 
-// rawTarget is a target that answers each connection as the test says, and counts the requests that it reads.
-type rawTarget struct {
+// fakeTarget is a target whose responses are written by the test. It counts the requests that it reads.
+type fakeTarget struct {
 	route.Target
 	requests atomic.Int64
 }
 
-// newRawTarget listens on loopback; answer gets each connection after one request was read from it, and its number.
-func newRawTarget(c *quicktest.C, answer func(conn net.Conn, n int64)) *rawTarget {
+// newFakeTarget listens on loopback. It calls respond with the connection and the request's number after each request that it reads.
+func newFakeTarget(c *quicktest.C, respond func(conn net.Conn, n int64)) *fakeTarget {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	c.Cleanup(func() { _ = ln.Close() })
-	t := &rawTarget{Target: route.Target{Instance: "i", Address: ln.Addr().String()}}
+	t := &fakeTarget{Target: route.Target{Instance: "i", Address: ln.Addr().String()}}
 	go func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go t.serve(conn, answer)
+			go t.serve(conn, respond)
 		}
 	}()
 	return t
 }
 
-func (t *rawTarget) serve(conn net.Conn, answer func(net.Conn, int64)) {
+func (t *fakeTarget) serve(conn net.Conn, respond func(net.Conn, int64)) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -50,49 +50,53 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, req.Body) // what matters is that it came
-		answer(conn, t.requests.Add(1))
+		_, _ = io.Copy(io.Discard, req.Body) // only the arrival of the request matters
+		respond(conn, t.requests.Add(1))
 	}
 }
 
-func say(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
+func writeText(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func testRequest(repeatable bool) *request {
 	return &request{ID: "r", Service: &Service{}, Method: http.MethodGet, Path: "/x", Header: http.Header{}, Repeatable: repeatable}
 }
 
-// sendOnce sends the request and reads its answer; the error is of either.
-func sendOnce(d *Dispatcher, t *rawTarget, r *request) (*answer, error) {
+// sendOnce sends the request and reads the response; the error is that of either step.
+func sendOnce(d *Dispatcher, t *fakeTarget, r *request) (*response, error) {
 	resp, err := d.send(context.Background(), t.Target, r)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	a, err := readAnswer(resp)
-	if err == nil && a.Rest != nil {
-		_, err = io.Copy(io.Discard, a.Rest)
+	out, err := readResponse(resp)
+	if err == nil && out.Rest != nil {
+		_, err = io.Copy(io.Discard, out.Rest)
 	}
-	return a, err
+	return out, err
 }
 
+// A request that is not repeatable must not be sent again when its connection fails after the request was written.
 func TestARequestNotToBeRepeatedIsSentOnceWhateverTheConnectionDoes(t *testing.T) {
-	answers := map[string]func(net.Conn, int64){
+	responses := map[string]func(net.Conn, int64){
 		"closed without an answer": func(c net.Conn, _ int64) { _ = c.Close() },
-		"closed in the head":       func(c net.Conn, _ int64) { say(c, "HTTP/1.1 200 OK\r\nCont"); _ = c.Close() },
-		"closed in the body":       func(c net.Conn, _ int64) { say(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"); _ = c.Close() },
+		"closed in the head":       func(c net.Conn, _ int64) { writeText(c, "HTTP/1.1 200 OK\r\nCont"); _ = c.Close() },
+		"closed in the body": func(c net.Conn, _ int64) {
+			writeText(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok")
+			_ = c.Close()
+		},
 		"closed in a chunk": func(c net.Conn, _ int64) {
-			say(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok")
+			writeText(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok")
 			_ = c.Close()
 		},
-		"answered with something else": func(c net.Conn, _ int64) { say(c, "hello\r\n\r\n"); _ = c.Close() },
+		"answered with something else": func(c net.Conn, _ int64) { writeText(c, "hello\r\n\r\n"); _ = c.Close() },
 	}
-	for name, answer := range answers {
+	for name, respond := range responses {
 		for _, method := range [...]string{http.MethodGet, http.MethodPost} {
 			t.Run(name+" "+method, func(t *testing.T) {
 				c := quicktest.New(t)
-				target := newRawTarget(c, answer)
+				target := newFakeTarget(c, respond)
 				d := new(Dispatcher)
 				r := testRequest(false)
 				r.Method, r.Key = method, "k"
@@ -105,12 +109,13 @@
 	}
 }
 
+// http.Transport retries requests on reused connections that fail. A request that is not repeatable must not be affected.
 func TestAReusedConnectionThatBreaksDoesNotRepeatTheRequest(t *testing.T) {
 	c := quicktest.New(t)
-	// The first answer leaves the connection open; the second request on it is read and not answered.
-	target := newRawTarget(c, func(conn net.Conn, n int64) {
+	// The connection stays open after the first response and is closed after the second request was read.
+	target := newFakeTarget(c, func(conn net.Conn, n int64) {
 		if n == 1 {
-			say(conn, wholeAnswer)
+			writeText(conn, completeResponse)
 			return
 		}
 		_ = conn.Close()
@@ -127,12 +132,12 @@
 
 func TestARedirectIsAnAnswerAndNotFollowed(t *testing.T) {
 	c := quicktest.New(t)
-	target := newRawTarget(c, func(conn net.Conn, _ int64) {
-		say(conn, "HTTP/1.1 307 Temporary Redirect\r\nLocation: /again\r\nContent-Length: 0\r\n\r\n")
+	target := newFakeTarget(c, func(conn net.Conn, _ int64) {
+		writeText(conn, "HTTP/1.1 307 Temporary Redirect\r\nLocation: /again\r\nContent-Length: 0\r\n\r\n")
 	})
-	a, err := sendOnce(new(Dispatcher), target, testRequest(false))
+	resp, err := sendOnce(new(Dispatcher), target, testRequest(false))
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(a.Status, quicktest.Equals, http.StatusTemporaryRedirect)
+	c.Assert(resp.Status, quicktest.Equals, http.StatusTemporaryRedirect)
 	c.Assert(target.requests.Load(), quicktest.Equals, int64(1))
 }
 
@@ -145,24 +150,25 @@
 	_, err = new(Dispatcher).send(context.Background(), route.Target{Address: address}, testRequest(false))
 	c.Assert(errors.Is(err, errNotWritten), quicktest.IsTrue)
 
-	target := newRawTarget(c, func(conn net.Conn, _ int64) { say(conn, wholeAnswer) })
-	ended, cancel := context.WithCancel(context.Background())
+	target := newFakeTarget(c, func(conn net.Conn, _ int64) { writeText(conn, completeResponse) })
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = new(Dispatcher).send(ended, target.Target, testRequest(false))
+	_, err = new(Dispatcher).send(cancelled, target.Target, testRequest(false))
 	c.Assert(errors.Is(err, errNotWritten), quicktest.IsTrue)
 	c.Assert(target.requests.Load(), quicktest.Equals, int64(0))
 }
 
+// A late response to a cancelled request must not be returned for the next request to the same target.
 func TestAnAbandonedRequestsAnswerReachesNobody(t *testing.T) {
 	c := quicktest.New(t)
 	release := make(chan struct{})
-	target := newRawTarget(c, func(conn net.Conn, n int64) {
+	target := newFakeTarget(c, func(conn net.Conn, n int64) {
 		if n == 1 {
-			<-release // the first request's answer comes late
-			say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
+			<-release // the first request is cancelled before it gets its response
+			writeText(conn, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst")
 			return
 		}
-		say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
+		writeText(conn, "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
 	})
 	d := new(Dispatcher)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,20 +178,21 @@
 		failed <- err
 	}()
 	for target.requests.Load() == 0 {
-		// the request is on its way
+		// wait until the target has read the request
 	}
 	cancel()
 	c.Assert(<-failed, quicktest.IsNotNil)
 	close(release)
-	a, err := sendOnce(d, target, testRequest(true))
+	resp, err := sendOnce(d, target, testRequest(true))
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(string(a.Body), quicktest.Equals, "second")
+	c.Assert(string(resp.Body), quicktest.Equals, "second")
 }
 
+// The response is larger than maxBufferedBody, so it is truncated after its status and headers were passed on.
 func TestALongAnswerThatEndsEarlyIsNotPassedAsWhole(t *testing.T) {
 	c := quicktest.New(t)
-	target := newRawTarget(c, func(conn net.Conn, _ int64) {
-		say(conn, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 200000))
+	target := newFakeTarget(c, func(conn net.Conn, _ int64) {
+		writeText(conn, "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+strings.Repeat("x", 200000))
 		_ = conn.Close()
 	})
 	_, err := sendOnce(new(Dispatcher), target, testRequest(true))
@@ -194,7 +201,7 @@
 
 func TestHeadersOfOneConnectionAndOfRackstepDoNotPass(t *testing.T) {
 	c := quicktest.New(t)
-	h := forwarded(http.Header{
+	h := forwardedHeaders(http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "Authorization": {"Bearer t"}, "Idempotency-Key": {"k"}, "Accept": {"a"},
 		"Rackstep-Generation": {"7"},
 	})
--- a/serve/execute.go
+++ b/serve/execute.go
@@ -14,23 +14,23 @@
 	"rackstep.dev/route"
 )
 
-// execute runs the request on a target of this data centre; this entry is the service's owner.
-func (s *Server) execute(ctx context.Context, r *request) (*answer, *Problem) {
-	if r.NoWait && !s.free(r) {
-		return nil, notRun(http.StatusServiceUnavailable, ReasonBusy, "come back later", "no slot of %s is free in %s", r.Service.Name, s.DataCentre)
+// execute runs the request on a target of this data centre. It is called only on the entry that owns the service.
+func (s *Server) execute(ctx context.Context, r *request) (*response, *Problem) {
+	if r.NoWait && !s.hasFreeSlot(r) {
+		return nil, notRun(http.StatusServiceUnavailable, ReasonBusy, "retry later", "service %s has no free slot in %s", r.Service.Name, s.DataCentre)
 	}
 	if r.Repeatable {
-		return s.attempt(ctx, r)
+		return s.dispatchWithRetries(ctx, r)
 	}
-	s.probe(StepClaim, false)
-	c, p := s.claim(ctx, r)
-	s.probe(StepClaim, true)
+	s.reportStep(StepClaim, false)
+	c, p := s.acquireClaim(ctx, r)
+	s.reportStep(StepClaim, true)
 	if p != nil {
 		return nil, p
 	}
-	// What was claimed goes on when the caller hangs up, so that its completion becomes known.
+	// A claimed request continues when the caller disconnects, so that its completion is recorded.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
-	a, p := s.attempt(ctx, r)
+	resp, p := s.dispatchWithRetries(ctx, r)
 	if p != nil {
 		cancel()
 		if p.Outcome == OutcomeNotRun {
@@ -38,114 +38,117 @@
 		}
 		return nil, p
 	}
-	end := a.End
-	a.End = func(whole bool) {
-		end(whole)
+	finish := resp.Finish
+	resp.Finish = func(complete bool) {
+		finish(complete)
 		cancel()
-		if whole {
-			s.probe(StepCompletion, false)
-			s.Book.Complete(c, a.Status)
-			s.probe(StepCompletion, true)
+		if complete {
+			s.reportStep(StepCompletion, false)
+			s.Book.Complete(c, resp.Status)
+			s.reportStep(StepCompletion, true)
 		}
 	}
-	return a, nil
+	return resp, nil
 }
 
-// free says whether the request would get a slot at once, and remembers how much is missing when not.
-func (s *Server) free(r *request) bool {
-	g := s.gateOf(r.Service.Name)
-	if g.Free(s.ask(r, nil)) {
+// hasFreeSlot reports whether the request would get a slot without waiting. When it would not, it records the gate's shortage
+// for the routing of later requests.
+func (s *Server) hasFreeSlot(r *request) bool {
+	g := s.gate(r.Service.Name)
+	if g.Free(s.slotRequest(r, nil)) {
 		return true
 	}
-	s.spares.tell(r.Service.Name, s.DataCentre, g.Spare(), s.now())
+	s.freeSlots.report(r.Service.Name, s.DataCentre, g.Spare(), s.now())
 	return false
 }
 
-// claim makes the request's key this entry's; after a Problem it must not be dispatched.
-func (s *Server) claim(ctx context.Context, r *request) (claim.Claim, *Problem) {
-	c := s.claimOf(r, fmt.Sprintf("%s.%d", s.Boot, s.attempts.Add(1)))
+// acquireClaim claims the request's key for this entry. The request must not be dispatched when a Problem is returned.
+func (s *Server) acquireClaim(ctx context.Context, r *request) (claim.Claim, *Problem) {
+	c := s.newClaim(r, fmt.Sprintf("%s.%d", s.Boot, s.attempts.Add(1)))
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	v, err := s.Book.Claim(ctx, c)
 	if err != nil {
-		p := notRun(http.StatusServiceUnavailable, ReasonNotClaimed, "send it again with the same key and the same not-after", "the key could not be claimed: %v", err)
+		p := notRun(http.StatusServiceUnavailable, ReasonNotClaimed, "send it again with the same key and the same not-after", "the key %q could not be claimed: %v", r.Key, err)
 		p.RetryAfter = time.Second
 		if !r.NotAfter.After(s.now()) {
-			return c, expired(r)
+			return c, expiredProblem(r)
 		}
 		return c, p
 	}
 	if v.Kind == claim.Won {
 		return c, nil
 	}
-	return c, s.judged(r, v)
+	return c, s.verdictProblem(r, v)
 }
 
-// judged says what is known of the request's key when this copy does not run.
-func (s *Server) judged(r *request, v claim.Verdict) *Problem {
+// verdictProblem returns the problem for a copy of a request that does not run because of the state of its key.
+func (s *Server) verdictProblem(r *request, v claim.Verdict) *Problem {
 	switch v.Kind {
 	case claim.Open, claim.Won:
-		p := unknown(http.StatusConflict, ReasonInProgress, "ask again with the same key and the same not-after; it is not run a second time",
-			"another copy of the request with the key %q was claimed and its end is not known", r.Key)
+		p := unknown(http.StatusConflict, ReasonKeyInProgress, "ask again with the same key and the same not-after; it is not run a second time",
+			"another copy of the request with the key %q is running, or its result is not known", r.Key)
 		p.RetryAfter = time.Second
 		return p
 	case claim.Complete:
-		p := unknown(http.StatusConflict, ReasonRanBefore, "nothing is to be done; the first answer went to the first copy",
-			"the request with the key %q ran and was answered with status %d", r.Key, v.Status)
+		p := unknown(http.StatusConflict, ReasonRanBefore, "nothing needs to be done; the response was sent to the first copy",
+			"the request with the key %q has run and was answered with status %d", r.Key, v.Status)
 		p.FirstStatus = v.Status
 		return p
 	case claim.Conflict:
 		return notRun(http.StatusUnprocessableEntity, ReasonKeyTaken, "use a new key for a new request", "the key %q belongs to a different request", r.Key)
 	}
-	return expired(r)
+	return expiredProblem(r)
 }
 
-// known says what the claims log tells of an earlier copy of the request, or returns nil.
-func (s *Server) known(r *request) *Problem {
+// earlierProblem returns the problem for a request of which the claims log holds an earlier copy, or nil when it holds none.
+func (s *Server) earlierProblem(r *request) *Problem {
 	if r.Repeatable {
 		return nil
 	}
-	v, ok := s.Book.Look(s.claimOf(r, ""))
+	v, ok := s.Book.Look(s.newClaim(r, ""))
 	if !ok {
 		return nil
 	}
-	return s.judged(r, v)
+	return s.verdictProblem(r, v)
 }
 
-func (s *Server) claimOf(r *request, token string) claim.Claim {
+func (s *Server) newClaim(r *request, token string) claim.Claim {
 	return claim.Claim{Key: r.Team + "/" + r.Key, Digest: r.digest(), NotAfter: r.NotAfter.UnixMilli(), Token: token}
 }
 
-// expired answers a request whose time has passed and whose key is not known: an earlier copy may have run.
-func expired(r *request) *Problem {
-	return unknown(http.StatusGone, ReasonExpired, "look at the service's own records before you send it as a new request with a new key",
-		"not-after %s has passed; this copy did not run, and an earlier one is no longer remembered", r.NotAfter.UTC().Format(time.RFC3339))
+// expiredProblem returns the problem for a request whose not-after has passed and whose key is not known. The outcome is
+// unknown, because expired keys are removed from the claims log and an earlier copy may have run.
+func expiredProblem(r *request) *Problem {
+	return unknown(http.StatusGone, ReasonNotAfterPassed, "check the service's own records before sending it as a new request with a new key",
+		"not-after %s has passed; this copy did not run, and no record is kept of an earlier one", r.NotAfter.UTC().Format(time.RFC3339))
 }
 
-// attempt gives the request to targets until one has answered, it may have run, or its time or the retry budget ends.
-func (s *Server) attempt(ctx context.Context, r *request) (*answer, *Problem) {
-	g := s.gateOf(r.Service.Name)
+// dispatchWithRetries dispatches the request to one target after another until one responds. It stops early when a request
+// that is not repeatable may have run, at the deadline, and when the retry budget is exhausted.
+func (s *Server) dispatchWithRetries(ctx context.Context, r *request) (*response, *Problem) {
+	g := s.gate(r.Service.Name)
 	g.retries.First()
 	mayHaveRun := false
 	var avoid []string
 	for {
-		s.probe(StepSlot, false)
-		lease, err := g.Acquire(ctx, s.ask(r, avoid))
-		s.probe(StepSlot, true)
+		s.reportStep(StepSlot, false)
+		lease, err := g.Acquire(ctx, s.slotRequest(r, avoid))
+		s.reportStep(StepSlot, true)
 		if err != nil {
-			return nil, s.refused(r, err, mayHaveRun)
+			return nil, s.slotProblem(r, err, mayHaveRun)
 		}
-		a, p := s.dispatch(ctx, r, lease)
+		resp, p := s.dispatch(ctx, r, lease)
 		if p == nil {
-			if a.Status < http.StatusInternalServerError || !r.Repeatable || !g.retries.Retry() {
-				return a, nil
+			if resp.Status < http.StatusInternalServerError || !r.Repeatable || !g.retries.Retry() {
+				return resp, nil
 			}
-			a.End(false)
+			resp.Finish(false)
 			mayHaveRun = true
 		} else {
 			mayHaveRun = mayHaveRun || p.Outcome == OutcomeUnknown
 			if (mayHaveRun && !r.Repeatable) || ctx.Err() != nil || !g.retries.Retry() {
-				return nil, settle(p, mayHaveRun)
+				return nil, withEarlierAttempt(p, mayHaveRun)
 			}
 		}
 		avoid = append(avoid, lease.Target.Instance)
@@ -155,12 +158,12 @@
 	}
 }
 
-func (s *Server) ask(r *request, avoid []string) route.Request {
+func (s *Server) slotRequest(r *request, avoid []string) route.Request {
 	return route.Request{Team: r.Team, Share: r.Share, Urgent: r.Urgent, Deadline: r.Deadline, Avoid: avoid}
 }
 
-// settle makes the problem's outcome unknown when an earlier attempt may have run.
-func settle(p *Problem, mayHaveRun bool) *Problem {
+// withEarlierAttempt changes the outcome from not-run to unknown when an earlier attempt may have run.
+func withEarlierAttempt(p *Problem, mayHaveRun bool) *Problem {
 	if mayHaveRun && p.Outcome == OutcomeNotRun {
 		q := *p
 		q.Outcome = OutcomeUnknown
@@ -170,80 +173,83 @@
 	return p
 }
 
-func (s *Server) refused(r *request, err error, mayHaveRun bool) *Problem {
+// slotProblem returns the problem for a request that the gate gave no slot.
+func (s *Server) slotProblem(r *request, err error, mayHaveRun bool) *Problem {
 	var refused *route.RefusedError
 	if !errors.As(err, &refused) {
-		return settle(notRun(http.StatusServiceUnavailable, ReasonNoTarget, "report this as a bug", "%v", err), mayHaveRun)
+		return withEarlierAttempt(notRun(http.StatusServiceUnavailable, ReasonNoTarget, "report this as a bug", "%v", err), mayHaveRun)
 	}
-	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "come back later", "service %s: %v", r.Service.Name, refused)
+	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "retry later", "service %s: %v", r.Service.Name, refused)
 	p.RetryAfter = max(refused.RetryAfter, time.Second)
 	switch refused.Kind {
 	case route.KindFull:
-		p.Reason, p.Status, p.Remedy = ReasonQueueFull, http.StatusTooManyRequests, "come back after the time in Retry-After"
+		p.Reason, p.Status, p.Remedy = ReasonQueueFull, http.StatusTooManyRequests, "retry after the time in Retry-After"
 	case route.KindDeadline:
-		p.Reason, p.Remedy = ReasonDeadline, "come back after the time in Retry-After or allow more time"
+		p.Reason, p.Remedy = ReasonDeadline, "retry after the time in Retry-After, or allow more time"
 	case route.KindMoved:
 		p.Reason = ReasonNotOwner
 	case route.KindGone:
-		p.Reason, p.Status = ReasonDeadline, statusClientGone
+		p.Reason, p.Status = ReasonDeadline, statusClientClosed
 	}
-	return settle(p, mayHaveRun)
+	return withEarlierAttempt(p, mayHaveRun)
 }
 
-// statusClientGone is written to logs and relays only; the caller has gone.
-const statusClientGone = 499
+// statusClientClosed is the status of a request whose caller has disconnected. It occurs only in logs and between entries.
+const statusClientClosed = 499
 
-// dispatch sends the request once; the lease ends with the answer.
-func (s *Server) dispatch(ctx context.Context, r *request, lease *route.Lease) (*answer, *Problem) {
+// dispatch sends the request to the lease's target once. The lease ends when the response does.
+func (s *Server) dispatch(ctx context.Context, r *request, lease *route.Lease) (*response, *Problem) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
-	s.probe(StepDispatch, false)
+	s.reportStep(StepDispatch, false)
 	if !r.Repeatable && !r.NotAfter.After(s.now()) {
 		cancel()
 		lease.Done(route.ResultNeutral)
-		return nil, notRun(http.StatusGone, ReasonExpired, "send it as a new request with a new key", "not-after passed while it waited")
+		return nil, notRun(http.StatusGone, ReasonNotAfterPassed, "send it as a new request with a new key", "not-after %s passed while the request waited for a slot", r.NotAfter.UTC().Format(time.RFC3339))
 	}
-	resp, err := s.Targets.send(ctx, lease.Target, r)
-	s.probe(StepDispatch, true)
+	raw, err := s.Targets.send(ctx, lease.Target, r)
+	s.reportStep(StepDispatch, true)
 	if err != nil {
 		cancel()
-		return nil, s.sendFailed(ctx, r, lease, err)
+		return nil, s.sendProblem(ctx, r, lease, err)
 	}
-	if resp.Header.Get(HeaderNotRun) != "" && resp.StatusCode == http.StatusServiceUnavailable {
-		_ = resp.Body.Close() // nothing in it is needed
+	if raw.Header.Get(HeaderNotRun) != "" && raw.StatusCode == http.StatusServiceUnavailable {
+		_ = raw.Body.Close() // the body is not used
 		cancel()
 		lease.Done(route.ResultRefused)
-		p := notRun(http.StatusServiceUnavailable, ReasonRefused, "come back later", "target %s refused the request", lease.Target.Instance)
+		p := notRun(http.StatusServiceUnavailable, ReasonTargetRefused, "retry later", "target %s refused the request", lease.Target.Instance)
 		p.RetryAfter = time.Second
 		return nil, p
 	}
-	a, err := readAnswer(resp)
+	resp, err := readResponse(raw)
 	if err != nil {
-		_ = resp.Body.Close() // it is broken
+		_ = raw.Body.Close() // the read has failed already
 		cancel()
-		lease.Done(result(ctx, false))
-		return nil, s.lost(r, lease, err)
+		lease.Done(unansweredResult(ctx, false))
+		return nil, s.truncatedProblem(r, lease, err)
 	}
-	a.End = func(whole bool) {
-		_ = resp.Body.Close() // the transport closes the connection when the body was not read whole
-		lease.Done(resultOf(a.Status, whole))
+	resp.Finish = func(complete bool) {
+		_ = raw.Body.Close() // http.Transport closes the connection when the body was not read to its end
+		lease.Done(answeredResult(resp.Status, complete))
 		cancel()
 	}
-	return a, nil
+	return resp, nil
 }
 
-func (s *Server) sendFailed(ctx context.Context, r *request, lease *route.Lease, err error) *Problem {
+// sendProblem ends the lease and returns the problem for a request that got no response.
+func (s *Server) sendProblem(ctx context.Context, r *request, lease *route.Lease, err error) *Problem {
 	if errors.Is(err, errNotWritten) {
-		lease.Done(result(ctx, false))
-		p := notRun(http.StatusBadGateway, ReasonTarget, "send it again", "target %s could not be reached: %v", lease.Target.Instance, err)
+		lease.Done(unansweredResult(ctx, false))
+		p := notRun(http.StatusBadGateway, ReasonTargetFailed, "send it again", "target %s could not be reached: %v", lease.Target.Instance, err)
 		p.RetryAfter = time.Second
 		return p
 	}
-	lease.Done(result(ctx, false))
-	return s.lost(r, lease, err)
+	lease.Done(unansweredResult(ctx, false))
+	return s.truncatedProblem(r, lease, err)
 }
 
-// result says what an unanswered request tells of its target: nothing, when the caller went away.
-func result(ctx context.Context, ok bool) route.Result {
+// unansweredResult returns the result to count for the target of a request without a response. It is neutral when the caller
+// disconnected, which says nothing about the target.
+func unansweredResult(ctx context.Context, ok bool) route.Result {
 	switch {
 	case ok:
 		return route.ResultOK
@@ -253,21 +259,24 @@
 	return route.ResultFailed
 }
 
-func resultOf(status int, whole bool) route.Result {
+// answeredResult returns the result to count for the target of a request with a response.
+func answeredResult(status int, complete bool) route.Result {
 	switch {
 	case status >= http.StatusInternalServerError:
 		return route.ResultFailed
-	case !whole:
+	case !complete:
 		return route.ResultNeutral
 	}
 	return route.ResultOK
 }
 
-func (s *Server) lost(r *request, lease *route.Lease, err error) *Problem {
+// truncatedProblem emits an event and returns the problem for a request that was written to its target and got no complete
+// response.
+func (s *Server) truncatedProblem(r *request, lease *route.Lease, err error) *Problem {
 	s.Events.Emit(event.RequestUnknown, event.Subject{Request: r.ID, Instance: lease.Target.Instance}, err.Error())
 	remedy := "send it again; it is repeatable"
 	if !r.Repeatable {
 		remedy = "ask again with the same key; it is not run a second time"
 	}
-	return unknown(http.StatusBadGateway, ReasonTarget, remedy, "target %s did not give a whole answer: %v", lease.Target.Instance, err)
+	return unknown(http.StatusBadGateway, ReasonTargetFailed, remedy, "target %s did not send a complete response: %v", lease.Target.Instance, err)
 }
--- a/serve/fuzz_test.go
+++ b/serve/fuzz_test.go
@@ -21,15 +21,15 @@
 	"rackstep.dev/peer/peerpb"
 )
 
-// emptyServer serves one service that has no target, so that nothing can run.
+// emptyServer returns a server with one service without targets, so that no request can run.
 func emptyServer() *Server {
 	s := &Server{Self: "e", DataCentre: "a", Targets: &Dispatcher{}, Events: &event.Ring{}, Book: &claim.Book{}}
 	svc := &Service{Service: fleet.Service{Name: "s", DataCentres: []string{"a"}}, Owner: "e", Slots: 1, Serving: []string{"a"}}
-	s.SetView(&View{Near: []string{"a"}, Services: map[string]*Service{"s": svc}, Organisations: fuzzTeams()})
+	s.SetView(&View{Near: []string{"a"}, Services: map[string]*Service{"s": svc}, Organisations: testTeams()})
 	return s
 }
 
-// FuzzCaller sends whatever can be read as HTTP; every answer says what became of the request, and none says that it ran.
+// FuzzCaller serves any input that is a valid HTTP request. No response may claim that the request ran.
 func FuzzCaller(f *testing.F) {
 	for _, seed := range [...]string{
 		"GET /v1/services/s/x HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer t\r\n\r\n",
@@ -47,20 +47,20 @@
 			return
 		}
 		if r.Header.Get(HeaderKey) != "" {
-			r.Header.Set(HeaderNotAfter, "2020-01-01T00:00:00Z") // this server has no log to claim a key with
+			r.Header.Set(HeaderNotAfter, "2020-01-01T00:00:00Z") // in the past, since the server has no log in which to claim a key
 		}
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, r)
 		if w.Code < 400 && r.URL.Path != "/health/ready" {
-			t.Fatalf("%q was answered with %d", b, w.Code)
+			t.Fatalf("request %q: status %d, want an error", b, w.Code)
 		}
 		if w.Header().Get(HeaderOutcome) == string(OutcomeWhole) {
-			t.Fatalf("%q counts as run", b)
+			t.Fatalf("request %q: outcome %q, although nothing can run", b, OutcomeWhole)
 		}
 	})
 }
 
-// FuzzRelayed hands over whatever can be read as another entry's request; it never counts as run.
+// FuzzRelayed runs any input that is a valid request of another entry. The outcome must always be not-run.
 func FuzzRelayed(f *testing.F) {
 	for _, m := range [...]*peerpb.RelayRequest{
 		{Id: "r", Service: "s", Team: "team", Method: "GET", Path: "/x", Repeatable: true, RemainingUs: 1000},
@@ -78,10 +78,10 @@
 		if proto.Unmarshal(b, m) != nil {
 			return
 		}
-		m.Repeatable = true // this server has no log to claim a key with
-		a, p := s.relayed(context.Background(), m)
-		if a != nil || p == nil || p.Outcome != OutcomeNotRun {
-			t.Fatalf("%v was answered with %+v, %+v", m, a, p)
+		m.Repeatable = true // in the past, since the server has no log in which to claim a key
+		resp, p := s.runRelayed(context.Background(), m)
+		if resp != nil || p == nil || p.Outcome != OutcomeNotRun {
+			t.Fatalf("request %v: response %+v, problem %+v, want a problem with outcome %q", m, resp, p, OutcomeNotRun)
 		}
 	})
 }
@@ -118,7 +118,7 @@
 	}
 }
 
-func fuzzTeams() *org.Directory {
-	d, _ := org.NewDirectory([]org.Organisation{{Name: "team", Weight: 1, Keys: []org.Digest{org.DigestOf("t")}}}) // it has no mistake
+func testTeams() *org.Directory {
+	d, _ := org.NewDirectory([]org.Organisation{{Name: "team", Weight: 1, Keys: []org.Digest{org.DigestOf("t")}}}) // the organisations are valid
 	return d
 }
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -10,31 +10,31 @@
 	restful "github.com/emicklei/go-restful/v3"
 )
 
-// handlers is built on the first request.
+// handlers holds the HTTP routes, which are built on the first request.
 type handlers struct {
 	once      sync.Once
 	container *restful.Container
 }
 
-// methods are what callers may use on a service.
-var methods = [...]string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions}
+// serviceMethods are the HTTP methods that are forwarded to services.
+var serviceMethods = [...]string{http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions}
 
-// ServeHTTP answers callers.
+// ServeHTTP serves callers' requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.handlers.once.Do(func() { s.handlers.container = s.routes() })
-	// Not the container's ServeHTTP, whose mux answers a path with "//" or ".." by a redirect.
+	// Dispatch bypasses the container's ServeMux, which redirects paths with "//" or "..".
 	s.handlers.container.Dispatch(w, r)
 }
 
 func (s *Server) routes() *restful.Container {
 	c := restful.NewContainer()
 	c.Router(restful.CurlyRouter{})
-	c.DoNotRecover(true) // net/http recovers, and http.ErrAbortHandler must pass
+	c.DoNotRecover(true) // net/http recovers, and must see http.ErrAbortHandler
 	c.ServiceErrorHandler(func(e restful.ServiceError, _ *restful.Request, w *restful.Response) {
-		WriteProblem(w, notRun(e.Code, ReasonBadRequest, "look at docs/PROTOCOLS.md", "%s", e.Message))
+		WriteProblem(w, notRun(e.Code, ReasonBadRequest, "see docs/PROTOCOLS.md", "%s", e.Message))
 	})
 	ws := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
-	for _, m := range methods {
+	for _, m := range serviceMethods {
 		ws.Route(ws.Method(m).Path("/services/{service}").To(s.serveService))
 		ws.Route(ws.Method(m).Path("/services/{service}/{path:*}").To(s.serveService))
 	}
@@ -60,55 +60,55 @@
 	s.active.Add(1)
 	defer s.active.Add(-1)
 	w, r := rw.ResponseWriter, rr.Request
-	since := s.now()
+	start := s.now()
 	v := s.View()
 	if v == nil {
-		WriteProblem(w, notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "this entry has no tables yet"))
+		WriteProblem(w, notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "entry %s has not loaded its tables yet", s.Self))
 		return
 	}
-	team := v.team(r)
+	team := v.authenticate(r)
 	if team == nil {
 		WriteProblem(w, unauthorized())
 		return
 	}
 	path, ok := targetPath(r)
 	if !ok {
-		WriteProblem(w, notRun(http.StatusNotFound, ReasonBadRequest, "begin the path with "+servicesPath+"SERVICE/", "path %q names no service", r.URL.Path))
+		WriteProblem(w, notRun(http.StatusNotFound, ReasonBadRequest, "start the path with "+servicesPath+"SERVICE/", "path %q does not name a service", r.URL.Path))
 		return
 	}
-	s.probe(StepAdmission, false)
+	s.reportStep(StepAdmission, false)
 	req, p := s.admit(v, team, rr.PathParameter("service"), path, r)
-	s.probe(StepAdmission, true)
+	s.reportStep(StepAdmission, true)
 	if p != nil {
 		WriteProblem(w, p)
 		return
 	}
-	a, p := s.runOnce(r.Context(), v, req)
+	resp, p := s.runDeduplicated(r.Context(), v, req)
 	if p != nil {
 		w.Header().Set(HeaderRequest, req.ID)
-		s.count(req, p.Outcome, since)
+		s.recordOutcome(req, p.Outcome, start)
 		WriteProblem(w, p)
 		return
 	}
-	s.probe(StepAnswer, false)
-	whole := a.copyTo(w, req.ID)
-	s.probe(StepAnswer, true)
-	if !whole {
-		s.count(req, OutcomeUnknown, since)
-		panic(http.ErrAbortHandler) // the caller must see that the answer is not whole
+	s.reportStep(StepAnswer, false)
+	complete := resp.writeTo(w, req.ID)
+	s.reportStep(StepAnswer, true)
+	if !complete {
+		s.recordOutcome(req, OutcomeUnknown, start)
+		panic(http.ErrAbortHandler) // closes the connection, so that the caller notices the truncated response
 	}
-	s.count(req, OutcomeWhole, since)
+	s.recordOutcome(req, OutcomeWhole, start)
 }
 
 func unauthorized() *Problem {
-	return notRun(http.StatusUnauthorized, ReasonUnauthorized, "send the team's token as 'Authorization: Bearer TOKEN'", "the token is missing or not known")
+	return notRun(http.StatusUnauthorized, ReasonUnauthorized, "send the team's token as 'Authorization: Bearer TOKEN'", "the token is missing or unknown")
 }
 
-// servicesPath comes before a service's name in a caller's path.
+// servicesPath is the prefix before the service's name in a request's path.
 const servicesPath = "/v1/services/"
 
-// targetPath returns the path and query that the target gets, with their escapes as the caller wrote them, and false when
-// the caller's path is not of the form that names a service.
+// targetPath returns the path and query for the target, with the caller's escaping preserved. It returns false when the
+// request's path does not name a service.
 func targetPath(r *http.Request) (string, bool) {
 	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), servicesPath)
 	if !ok {
--- a/serve/jobs.go
+++ b/serve/jobs.go
@@ -14,16 +14,18 @@
 	"rackstep.dev/fleet"
 )
 
-// ErrUnknownResult means that a record may or may not have been folded; ask again with the same ID.
-var ErrUnknownResult = errors.New("the log gave no answer in time; ask again with the same id")
+// ErrUnknownResult means that a record may or may not have been applied to the tables. Repeating the call with the same ID is
+// safe.
+var ErrUnknownResult = errors.New("the log did not confirm the record in time; repeat the request with the same id")
 
-// Jobs passes callers' jobs on; its errors are *fleet.Refusal, ErrUnknownResult or one that says nothing was written.
+// Jobs connects the jobs interface to the control goroutine. Its functions return a *fleet.Refusal, ErrUnknownResult, or
+// another error when nothing was written.
 type Jobs struct {
-	// Submit adds the team's job; the same job twice is one job.
+	// Submit adds a job for the team. Submitting the same job again has no effect.
 	Submit func(ctx context.Context, team string, spec fleet.JobSpec) error
-	// Cancel ends the team's job.
+	// Cancel cancels the team's job.
 	Cancel func(ctx context.Context, team, id string) error
-	// Get returns the team's job, or false.
+	// Get returns the team's job, and false when it is not known.
 	Get func(team, id string) (fleet.Job, bool)
 }
 
@@ -35,14 +37,14 @@
 	ws.Route(ws.DELETE("/jobs/{job}").To(s.cancelJob))
 }
 
-// jobTeam returns the caller's team; after false the answer was written.
+// jobTeam returns the name of the caller's team. When it returns false, it has written an error response.
 func (s *Server) jobTeam(r *restful.Request, w *restful.Response) (string, bool) {
 	v := s.View()
 	if v == nil {
-		WriteProblem(w.ResponseWriter, notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "this entry has no tables yet"))
+		WriteProblem(w.ResponseWriter, notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "entry %s has not loaded its tables yet", s.Self))
 		return "", false
 	}
-	team := v.team(r.Request)
+	team := v.authenticate(r.Request)
 	if team == nil {
 		WriteProblem(w.ResponseWriter, unauthorized())
 		return "", false
@@ -59,7 +61,7 @@
 	dec := json.NewDecoder(http.MaxBytesReader(w.ResponseWriter, r.Request.Body, maxJobBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&spec); err != nil {
-		WriteProblem(w.ResponseWriter, notRun(http.StatusBadRequest, ReasonBadRequest, "look at docs/PROTOCOLS.md", "the job can't be read: %v", err))
+		WriteProblem(w.ResponseWriter, notRun(http.StatusBadRequest, ReasonBadRequest, "see docs/PROTOCOLS.md", "the job can't be decoded: %v", err))
 		return
 	}
 	if err := s.Jobs.Submit(r.Request.Context(), team, spec); err != nil {
@@ -90,12 +92,12 @@
 func (s *Server) writeJob(w *restful.Response, status int, team, id string) {
 	j, ok := s.Jobs.Get(team, id)
 	if !ok {
-		WriteProblem(w.ResponseWriter, notRun(http.StatusNotFound, ReasonBadRequest, "submit the job first; ended jobs are forgotten after a while", "job %q is not known", id))
+		WriteProblem(w.ResponseWriter, notRun(http.StatusNotFound, ReasonBadRequest, "submit the job first; ended jobs are removed after some time", "job %q is not known", id))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.ResponseWriter.WriteHeader(status)
-	_ = json.NewEncoder(w.ResponseWriter).Encode(struct { // a caller that has gone can't be told
+	_ = json.NewEncoder(w.ResponseWriter).Encode(struct { // an error means that the caller has disconnected
 		ID           string         `json:"id"`
 		State        fleet.JobState `json:"state"`
 		Attempt      int            `json:"attempt"`
@@ -106,15 +108,15 @@
 	}{j.ID, j.State, j.Attempt, j.Instance, j.Moves, j.Checkpointed, j.Note})
 }
 
-// JobProblem returns the answer for an error of Jobs or of an operator's record.
+// JobProblem returns the problem for an error of Jobs or of a record that an operator submitted.
 func JobProblem(err error) *Problem {
 	var refusal *fleet.Refusal
 	switch {
 	case errors.As(err, &refusal):
 		return notRun(http.StatusConflict, Reason(refusal.Reason), refusal.Remedy, "%s", refusal.Detail)
 	case errors.Is(err, ErrUnknownResult):
-		return unknown(http.StatusGatewayTimeout, ReasonNotClaimed, "ask again with the same id", "%v", err)
+		return unknown(http.StatusGatewayTimeout, ReasonNotClaimed, "repeat the request with the same id", "%v", err)
 	}
 	detail, _, _ := strings.Cut(err.Error(), "\n")
-	return notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "%s", detail)
+	return notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "%s", detail)
 }
--- a/serve/problem.go
+++ b/serve/problem.go
@@ -16,39 +16,39 @@
 
 // Outcomes of a request.
 const (
-	OutcomeWhole   Outcome = "whole"   // the answer is the target's, complete
+	OutcomeWhole   Outcome = "whole"   // the caller got the target's complete response
 	OutcomeNotRun  Outcome = "not-run" // the request did not run
 	OutcomeUnknown Outcome = "unknown" // it may have run
 )
 
-// Reason is the kind of a Problem.
+// Reason is the machine-readable cause of a Problem.
 type Reason string
 
 // Reasons of a Problem.
 const (
-	ReasonUnauthorized Reason = "unauthorized"
-	ReasonBadRequest   Reason = "bad-request"
-	ReasonTooLarge     Reason = "too-large"
-	ReasonNoService    Reason = "no-such-service"
-	ReasonResidency    Reason = "residency"
-	ReasonCutOff       Reason = "data-centre-unreachable"
-	ReasonNoTarget     Reason = "no-target"
-	ReasonBusy         Reason = "busy"
-	ReasonQueueFull    Reason = "queue-full"
-	ReasonDeadline     Reason = "deadline"
-	ReasonNotReady     Reason = "not-ready"
-	ReasonNotClaimed   Reason = "not-claimed"
-	ReasonKeyTaken     Reason = "key-taken"
-	ReasonInProgress   Reason = "key-in-progress"
-	ReasonRanBefore    Reason = "key-completed"
-	ReasonExpired      Reason = "not-after-passed"
-	ReasonTarget       Reason = "target-failed"
-	ReasonRelay        Reason = "relay-failed"
-	ReasonNotOwner     Reason = "not-owner"
-	ReasonRefused      Reason = "target-refused"
+	ReasonUnauthorized          Reason = "unauthorized"
+	ReasonBadRequest            Reason = "bad-request"
+	ReasonTooLarge              Reason = "too-large"
+	ReasonNoSuchService         Reason = "no-such-service"
+	ReasonResidency             Reason = "residency"
+	ReasonDataCentreUnreachable Reason = "data-centre-unreachable"
+	ReasonNoTarget              Reason = "no-target"
+	ReasonBusy                  Reason = "busy"
+	ReasonQueueFull             Reason = "queue-full"
+	ReasonDeadline              Reason = "deadline"
+	ReasonNotReady              Reason = "not-ready"
+	ReasonNotClaimed            Reason = "not-claimed"
+	ReasonKeyTaken              Reason = "key-taken"
+	ReasonKeyInProgress         Reason = "key-in-progress"
+	ReasonRanBefore             Reason = "key-completed"
+	ReasonNotAfterPassed        Reason = "not-after-passed"
+	ReasonTargetFailed          Reason = "target-failed"
+	ReasonRelayFailed           Reason = "relay-failed"
+	ReasonNotOwner              Reason = "not-owner"
+	ReasonTargetRefused         Reason = "target-refused"
 )
 
-// Problem is an answer that does not come from a target.
+// Problem is an error response that was created by rackstep, not by a target.
 type Problem struct {
 	Status     int
 	Outcome    Outcome
@@ -56,16 +56,16 @@
 	Detail     string
 	Remedy     string
 	RetryAfter time.Duration
-	// FirstStatus is the HTTP status of the first answer to the same key, for ReasonRanBefore.
+	// FirstStatus is the HTTP status of the first response to the same key; set with ReasonKeyCompleted.
 	FirstStatus int
 }
 
-// Error returns the outcome, the detail and the remedy.
+// Error returns the outcome, the reason, the detail and the remedy.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("%s (%s): %s; %s", p.Outcome, p.Reason, p.Detail, p.Remedy)
 }
 
-// Headers of the callers' interface.
+// Headers of the HTTP interface for callers and targets.
 const (
 	HeaderOutcome    = "Rackstep-Outcome"
 	HeaderRequest    = "Rackstep-Request"
@@ -80,7 +80,7 @@
 	HeaderKey        = "Idempotency-Key"
 )
 
-// WriteProblem answers with problem details as in RFC 9457.
+// WriteProblem writes the problem as problem details according to RFC 9457.
 func WriteProblem(w http.ResponseWriter, p *Problem) {
 	body, err := json.Marshal(struct {
 		Type        string  `json:"type"`
@@ -93,7 +93,7 @@
 		FirstStatus int     `json:"first_status,omitempty"`
 	}{"https://rackstep.dev/problems/" + string(p.Reason), http.StatusText(p.Status), p.Status, p.Detail, p.Outcome, p.Reason, p.Remedy, p.FirstStatus})
 	if err != nil {
-		http.Error(w, "problem could not be written", http.StatusInternalServerError)
+		http.Error(w, "problem details could not be encoded: "+err.Error(), http.StatusInternalServerError)
 		return
 	}
 	h := w.Header()
@@ -106,7 +106,7 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(p.Status)
-	_, _ = w.Write(body) // a caller that has gone can't be told
+	_, _ = w.Write(body) // an error means that the caller has disconnected
 }
 
 func notRun(status int, reason Reason, remedy, format string, args ...any) *Problem {
--- a/serve/request.go
+++ b/serve/request.go
@@ -17,31 +17,33 @@
 	"rackstep.dev/org"
 )
 
-// request is one caller's request after admission.
+// request is a caller's request after admission.
 type request struct {
 	ID      string
 	Service *Service
 	Team    string
-	Share   int
-	Method  string
-	// Path is the path and query that the target gets.
+	// Share is the team's weight when slots are divided between teams.
+	Share  int
+	Method string
+	// Path is the path and query that are sent to the target.
 	Path   string
 	Header http.Header
 	Body   []byte
 	Urgent bool
-	// Repeatable says that running it twice does no harm.
+	// Repeatable means that the request may run more than once.
 	Repeatable bool
-	// Key and NotAfter are set for a request that is not repeatable.
+	// Key and NotAfter are set when the request is not repeatable.
 	Key      string
 	NotAfter time.Time
+	// Deadline is the time by which the caller wants the response.
 	Deadline time.Time
-	// Bound is the data centre of the request's record, or empty.
-	Bound string
-	// NoWait says that the request is to be refused when no slot is free at once.
+	// DataCentre is the data centre of the request's record, or empty.
+	DataCentre string
+	// NoWait means that the request is refused instead of queued when no slot is free.
 	NoWait bool
 }
 
-// Bounds of a request.
+// Limits and defaults of a request.
 const (
 	maxHeaderValue = 256
 	maxKey         = 128
@@ -49,18 +51,18 @@
 	defaultMaxBody = 1 << 20
 )
 
-// admit checks the request against the view; after a Problem nothing has happened.
+// admit checks the request against the view. It changes no state, so that a request that gets a Problem has not run.
 func (s *Server) admit(v *View, team *org.Organisation, service, path string, r *http.Request) (*request, *Problem) {
 	svc := v.Services[service]
 	if svc == nil {
-		return nil, notRun(http.StatusNotFound, ReasonNoService, "look at the services of the configuration", "service %q is not known", service)
+		return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "check the services of the configuration", "service %q is not known", service)
 	}
 	req := &request{
 		ID: s.requestID(r), Service: svc, Team: team.Name, Share: int(team.Weight),
-		Method: r.Method, Path: path, Header: forwarded(r.Header),
+		Method: r.Method, Path: path, Header: forwardedHeaders(r.Header),
 	}
-	for _, step := range [...]func(*request, *http.Request) *Problem{s.readPriority, s.readTimeout, s.readResidency(v), s.readRepeat, s.readBody} {
-		if p := step(req, r); p != nil {
+	for _, read := range [...]func(*request, *http.Request) *Problem{s.readPriority, s.readTimeout, s.readDataCentre(v), s.readRepeatable, s.readBody} {
+		if p := read(req, r); p != nil {
 			return nil, p
 		}
 	}
@@ -84,7 +86,7 @@
 	case "urgent":
 		req.Urgent = true
 	default:
-		return badHeader(HeaderPriority, v, "write urgent or ordinary, or leave it out")
+		return badHeader(HeaderPriority, v, "set it to urgent or ordinary, or omit it")
 	}
 	return nil
 }
@@ -97,7 +99,7 @@
 	if v := r.Header.Get(HeaderTimeout); v != "" {
 		d, err := time.ParseDuration(v)
 		if err != nil || d <= 0 {
-			return badHeader(HeaderTimeout, v, "write a positive duration, as in 500ms")
+			return badHeader(HeaderTimeout, v, "set it to a positive duration such as 500ms")
 		}
 		limit = min(limit, d)
 	}
@@ -105,18 +107,18 @@
 	return nil
 }
 
-func (s *Server) readResidency(v *View) func(*request, *http.Request) *Problem {
+func (s *Server) readDataCentre(v *View) func(*request, *http.Request) *Problem {
 	return func(req *request, r *http.Request) *Problem {
-		req.Bound = r.Header.Get(HeaderDataCentre)
-		if len(v.Allowed(req.Service, req.Bound)) == 0 {
-			return notRun(http.StatusForbidden, ReasonResidency, "name one of the service's data centres or leave the header out",
-				"service %q may not run in data centre %q", req.Service.Name, req.Bound)
+		req.DataCentre = r.Header.Get(HeaderDataCentre)
+		if len(v.Allowed(req.Service, req.DataCentre)) == 0 {
+			return notRun(http.StatusForbidden, ReasonResidency, "name one of the service's data centres, or omit the header",
+				"service %q may not run in data centre %q", req.Service.Name, req.DataCentre)
 		}
 		return nil
 	}
 }
 
-func (s *Server) readRepeat(req *request, r *http.Request) *Problem {
+func (s *Server) readRepeatable(req *request, r *http.Request) *Problem {
 	switch v := r.Header.Get(HeaderRepeatable); v {
 	case "":
 		req.Repeatable = r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
@@ -124,19 +126,19 @@
 		req.Repeatable = true
 	case "no":
 	default:
-		return badHeader(HeaderRepeatable, v, "write yes or no, or leave it out")
+		return badHeader(HeaderRepeatable, v, "set it to yes or no, or omit it")
 	}
 	if req.Repeatable {
 		return nil
 	}
 	req.Key = r.Header.Get(HeaderKey)
 	if req.Key == "" || len(req.Key) > maxKey || !printable(req.Key) {
-		return badHeader(HeaderKey, req.Key, "a request that is not repeatable needs a key of 1 to 128 printable characters without spaces")
+		return badHeader(HeaderKey, req.Key, "set it to 1 to 128 printable characters without spaces; a request that is not repeatable needs a key")
 	}
 	at, err := http.ParseTime(r.Header.Get(HeaderNotAfter))
 	if err != nil {
 		if at, err = time.Parse(time.RFC3339Nano, r.Header.Get(HeaderNotAfter)); err != nil {
-			return badHeader(HeaderNotAfter, r.Header.Get(HeaderNotAfter), "write the time after which it must not run as in RFC 3339, and the same time in every repeat")
+			return badHeader(HeaderNotAfter, r.Header.Get(HeaderNotAfter), "set it to the time after which the request must not run, in the format of RFC 3339, and to the same time in every repeat")
 		}
 	}
 	req.NotAfter = at
@@ -170,20 +172,21 @@
 	return notRun(http.StatusBadRequest, ReasonBadRequest, remedy, "header %s is %q", name, value)
 }
 
-// digest is the hash by which two requests with the same key are told apart.
+// digest returns a hash that distinguishes different requests with the same key.
 func (r *request) digest() [16]byte {
 	h := sha256.New()
-	fmt.Fprintf(h, "%q %q %q %q %d\n", r.Service.Name, r.Method, r.Path, r.Bound, len(r.Body))
+	fmt.Fprintf(h, "%q %q %q %q %d\n", r.Service.Name, r.Method, r.Path, r.DataCentre, len(r.Body))
 	h.Write(r.Body)
 	return [16]byte(h.Sum(nil))
 }
 
-// dropped are headers that concern one connection or rackstep itself, by canonical name.
-var dropped = canonical("Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
+// strippedHeaders are the canonical names of headers that are not forwarded, because they concern a single connection or
+// rackstep itself.
+var strippedHeaders = canonicalSet("Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Authorization", HeaderRequest, HeaderDataCentre, HeaderPriority,
 	HeaderTimeout, HeaderRepeatable, HeaderNotAfter, HeaderTeam, HeaderGeneration, HeaderNotRun, HeaderOutcome, HeaderKey)
 
-func canonical(names ...string) map[string]bool {
+func canonicalSet(names ...string) map[string]bool {
 	m := make(map[string]bool, len(names))
 	for _, n := range names {
 		m[textproto.CanonicalMIMEHeaderKey(n)] = true
@@ -191,19 +194,20 @@
 	return m
 }
 
-// forwarded returns the headers that pass through.
-func forwarded(h http.Header) http.Header {
+// forwardedHeaders returns the headers that are passed on, without strippedHeaders and those listed in Connection.
+func forwardedHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
-	listed := h.Values("Connection")
+	connection := h.Values("Connection")
 	for name, values := range h {
-		if !dropped[name] && !named(listed, name) {
+		if !strippedHeaders[name] && !listContains(connection, name) {
 			out[name] = values
 		}
 	}
 	return out
 }
 
-func named(lists []string, name string) bool {
+// listContains reports whether one of the comma-separated lists contains the name, ignoring case.
+func listContains(lists []string, name string) bool {
 	for _, list := range lists {
 		for item := range strings.SplitSeq(list, ",") {
 			if strings.EqualFold(strings.TrimSpace(item), name) {
@@ -214,7 +218,7 @@
 	return false
 }
 
-// TokenHash returns the form of a token that configurations hold.
+// TokenHash returns the hash of a token in the form that configurations use.
 func TokenHash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
--- a/serve/run.go
+++ b/serve/run.go
@@ -11,159 +11,163 @@
 	"rackstep.dev/route"
 )
 
-// Bounds of the search for a place to run.
+// Limits of the search for a data centre and an owner.
 const (
-	maxPlaces    = 3
-	handoverWait = 25 * time.Millisecond
-	maxHandover  = 2 * time.Second
+	maxDataCentres  = 3
+	ownerRetryDelay = 25 * time.Millisecond
+	maxOwnerWait    = 2 * time.Second
 )
 
-// runOnce runs the request unless an earlier copy of it is known.
+// runDeduplicated runs the request unless the claims log holds an earlier copy of it.
 //
-// A copy that did not run is told what is known of an earlier one, so that nobody takes "not run" for the request as a whole.
-func (s *Server) runOnce(ctx context.Context, v *View, r *request) (*answer, *Problem) {
-	if p := s.known(r); p != nil {
+// When this copy did not run, the log is checked again: not-run would be misleading if another copy was claimed meanwhile.
+func (s *Server) runDeduplicated(ctx context.Context, v *View, r *request) (*response, *Problem) {
+	if p := s.earlierProblem(r); p != nil {
 		return nil, p
 	}
-	a, p := s.run(ctx, v, r)
+	resp, p := s.run(ctx, v, r)
 	if p != nil && p.Outcome == OutcomeNotRun {
-		if earlier := s.known(r); earlier != nil {
+		if earlier := s.earlierProblem(r); earlier != nil {
 			return nil, earlier
 		}
 	}
-	return a, p
+	return resp, p
 }
 
-// run takes an admitted request to a data centre where it may run.
+// run routes an admitted request to a data centre where it may run.
 //
-// It first asks for a free slot, and waits in the shortest queue of those nearby when there is none.
-func (s *Server) run(ctx context.Context, v *View, r *request) (*answer, *Problem) {
-	places := s.places(v, r)
-	if len(places) > 1 {
-		a, p := s.runFree(ctx, v, r, places)
-		if p == nil || !s.goOn(ctx, r, p) {
-			return a, p
+// It first looks for a free slot. When there is none, the request waits in the shortest queue of the nearby data centres.
+func (s *Server) run(ctx context.Context, v *View, r *request) (*response, *Problem) {
+	candidates := s.candidates(v, r)
+	if len(candidates) > 1 {
+		resp, p := s.runOnFreeSlot(ctx, v, r, candidates)
+		if p == nil || !s.mayTryElsewhere(ctx, r, p) {
+			return resp, p
 		}
-		s.spares.shortestFirst(r.Service.Name, places[:v.nearby(places)], s.now())
+		s.freeSlots.preferShortestQueue(r.Service.Name, candidates[:v.nearbyCount(candidates)], s.now())
 	}
 	var last *Problem
-	for i, dc := range places {
-		if i == maxPlaces {
+	for i, dc := range candidates {
+		if i == maxDataCentres {
 			break
 		}
-		a, p := s.runIn(ctx, v, r, dc)
-		if p == nil || !s.goOn(ctx, r, p) {
-			return a, p
+		resp, p := s.runInDataCentre(ctx, v, r, dc)
+		if p == nil || !s.mayTryElsewhere(ctx, r, p) {
+			return resp, p
 		}
 		last = p
 	}
 	if last != nil {
 		return nil, last
 	}
-	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "come back later", "service %q has no available target where the request may run", r.Service.Name)
+	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "retry later", "service %q has no available target in a data centre where the request may run", r.Service.Name)
 	p.RetryAfter = time.Second
 	return nil, p
 }
 
-// runFree runs the request in a data centre that has a free slot; the problem is busy when none has.
+// runOnFreeSlot runs the request in a data centre that has a free slot, or returns a problem with ReasonBusy when none has.
 //
-// The nearest one is asked first, then those of the region and then the rest, each by what is to be expected there.
-func (s *Server) runFree(ctx context.Context, v *View, r *request, places []string) (*answer, *Problem) {
+// It tries the nearest data centre first, then the others of the region, then the rest. The last two groups are each ordered by
+// the estimated number of free slots.
+func (s *Server) runOnFreeSlot(ctx context.Context, v *View, r *request, candidates []string) (*response, *Problem) {
 	r.NoWait = true
 	defer func() { r.NoWait = false }()
-	busy := notRun(http.StatusServiceUnavailable, ReasonBusy, "come back later", "no slot of %s is free", r.Service.Name)
-	near := v.nearby(places)
-	for i, group := range [...][]string{places[:1], places[1:near], places[near:]} {
+	busy := notRun(http.StatusServiceUnavailable, ReasonBusy, "retry later", "service %s has no free slot", r.Service.Name)
+	nearby := v.nearbyCount(candidates)
+	for i, group := range [...][]string{candidates[:1], candidates[1:nearby], candidates[nearby:]} {
 		if i > 0 {
-			group = s.spares.byExpectation(r.Service.Name, group, s.now())
+			group = s.freeSlots.byEstimate(r.Service.Name, group, s.now())
 		}
 		for _, dc := range group {
-			a, p := s.runIn(ctx, v, r, dc)
-			if p == nil || !s.goOn(ctx, r, p) {
-				return a, p
+			resp, p := s.runInDataCentre(ctx, v, r, dc)
+			if p == nil || !s.mayTryElsewhere(ctx, r, p) {
+				return resp, p
 			}
 		}
 	}
 	return nil, busy
 }
 
-// places returns the data centres to try, the nearest first.
-func (s *Server) places(v *View, r *request) []string {
-	var places []string
-	for _, dc := range v.Allowed(r.Service, r.Bound) {
+// candidates returns the data centres where the request may run and the service has a target, nearest first.
+func (s *Server) candidates(v *View, r *request) []string {
+	var candidates []string
+	for _, dc := range v.Allowed(r.Service, r.DataCentre) {
 		if slices.Contains(r.Service.Serving, dc) {
-			places = append(places, dc)
+			candidates = append(candidates, dc)
 		}
 	}
-	return places
+	return candidates
 }
 
-// goOn says whether the request may be tried in another data centre after the problem.
-func (s *Server) goOn(ctx context.Context, r *request, p *Problem) bool {
+// mayTryElsewhere reports whether the request may be tried in another data centre after the problem.
+func (s *Server) mayTryElsewhere(ctx context.Context, r *request, p *Problem) bool {
 	if ctx.Err() != nil || !s.now().Before(r.Deadline) {
 		return false
 	}
 	if p.Outcome != OutcomeNotRun {
-		return r.Repeatable && p.Reason == ReasonRelay && s.gateOf(r.Service.Name).retries.Retry()
+		return r.Repeatable && p.Reason == ReasonRelayFailed && s.gate(r.Service.Name).retries.Retry()
 	}
 	switch p.Reason {
-	case ReasonBusy, ReasonNoTarget, ReasonQueueFull, ReasonCutOff, ReasonNotOwner, ReasonNotReady, ReasonDeadline, ReasonRefused:
+	case ReasonBusy, ReasonNoTarget, ReasonQueueFull, ReasonDataCentreUnreachable, ReasonNotOwner, ReasonNotReady, ReasonDeadline, ReasonTargetRefused:
 		return true
 	}
 	return false
 }
 
-func (s *Server) runIn(ctx context.Context, v *View, r *request, dc string) (*answer, *Problem) {
+// runInDataCentre runs the request in the data centre, through one of its entries unless it is this entry's own.
+func (s *Server) runInDataCentre(ctx context.Context, v *View, r *request, dc string) (*response, *Problem) {
 	if dc == s.DataCentre {
-		return s.local(ctx, r, false)
+		return s.runLocally(ctx, r, false)
 	}
-	s.spares.use(r.Service.Name, dc)
+	s.freeSlots.consume(r.Service.Name, dc)
 	entry := route.Owner(r.Service.Name, v.Entries[dc])
 	if entry == "" {
-		p := notRun(http.StatusServiceUnavailable, ReasonCutOff, "come back later", "no entry of data centre %s can be reached", dc)
+		p := notRun(http.StatusServiceUnavailable, ReasonDataCentreUnreachable, "retry later", "no entry of data centre %s can be reached", dc)
 		p.RetryAfter = time.Second
 		return nil, p
 	}
 	return s.relay(ctx, dc, entry, r, false)
 }
 
-// local runs the request in this data centre: here when this entry owns the gate, else at the owner.
+// runLocally runs the request in this data centre: on this entry if it owns the service, otherwise on the owner.
 //
-// While two entries disagree about the owner, each refuses what the other sends, and the request waits for them to agree.
-func (s *Server) local(ctx context.Context, r *request, direct bool) (*answer, *Problem) {
+// While two entries disagree about the owner, each rejects the other's requests. The request is retried until they agree, for at
+// most maxOwnerWait.
+func (s *Server) runLocally(ctx context.Context, r *request, direct bool) (*response, *Problem) {
 	start := s.now()
 	for {
 		v := s.View()
 		svc := v.Services[r.Service.Name]
 		if svc == nil {
-			return nil, notRun(http.StatusNotFound, ReasonNoService, "look at the services of the configuration", "service %q has gone", r.Service.Name)
+			return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "check the services of the configuration", "service %q was removed from the configuration", r.Service.Name)
 		}
 		r.Service = svc
-		a, p := s.localOnce(ctx, r, direct)
-		if p == nil || p.Outcome != OutcomeNotRun || (p.Reason != ReasonNotOwner && p.Reason != ReasonCutOff) {
-			return a, p
+		resp, p := s.tryLocally(ctx, r, direct)
+		if p == nil || p.Outcome != OutcomeNotRun || (p.Reason != ReasonNotOwner && p.Reason != ReasonDataCentreUnreachable) {
+			return resp, p
 		}
-		if s.now().Sub(start) > maxHandover || !sleep(ctx, handoverWait) {
+		if s.now().Sub(start) > maxOwnerWait || !sleep(ctx, ownerRetryDelay) {
 			return nil, p
 		}
 	}
 }
 
-func (s *Server) localOnce(ctx context.Context, r *request, direct bool) (*answer, *Problem) {
+func (s *Server) tryLocally(ctx context.Context, r *request, direct bool) (*response, *Problem) {
 	svc := r.Service
 	switch {
 	case svc.Owner == "":
-		p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "come back later", "service %q has no available target in %s", svc.Name, s.DataCentre)
+		p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "retry later", "service %q has no available target in %s", svc.Name, s.DataCentre)
 		p.RetryAfter = time.Second
 		return nil, p
 	case svc.Owner == s.Self:
 		return s.execute(ctx, r)
 	case direct:
-		return nil, notRun(http.StatusServiceUnavailable, ReasonNotOwner, "come back later", "entry %s does not run the gate of %s", s.Self, svc.Name)
+		return nil, notRun(http.StatusServiceUnavailable, ReasonNotOwner, "retry later", "entry %s does not own service %s", s.Self, svc.Name)
 	}
 	return s.relay(ctx, s.DataCentre, svc.Owner, r, true)
 }
 
+// sleep waits for d. It returns false when the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/serve/server.go
+++ b/serve/server.go
@@ -17,44 +17,44 @@
 	"rackstep.dev/route"
 )
 
-// Server runs the callers' requests of one entry.
+// Server handles the callers' requests of one entry.
 type Server struct {
-	// Self is the entry's name, DataCentre its place.
+	// Self is the entry's name, DataCentre its data centre.
 	Self, DataCentre string
-	// Book makes claims.
+	// Book claims the keys of requests that are not repeatable.
 	Book *claim.Book
-	// Mesh reaches the other entries.
+	// Mesh connects to the other entries.
 	Mesh *peer.Mesh
 	// Targets sends requests to targets.
 	Targets *Dispatcher
-	// Jobs passes callers' jobs to control; without Submit there is no jobs interface.
+	// Jobs handles callers' jobs; there is no jobs interface when Jobs.Submit is nil.
 	Jobs Jobs
-	// Boot tells two lives of the entry apart.
+	// Boot identifies this start of the entry's process.
 	Boot   string
 	Events *event.Ring
-	// Probe is called before and after each step of a request; a fault switch of tests, nil in operation.
+	// OnStep is called before and after each step of a request. Tests use it to inject faults; it is nil in production.
 	Probe func(step Step, after bool)
-	// Metrics receives counters and timers; tally.NoopScope when nil.
+	// Metrics receives counters and timers; tally.NoopScope is used when nil.
 	Metrics tally.Scope
-	// Clock returns the platform's time; time.Now when nil.
+	// Clock returns the platform's time; time.Now is used when nil.
 	Clock func() time.Time
-	// MaxBody bounds a caller's body in bytes; 1 MiB when 0.
+	// MaxBody is the maximum size of a request's body in bytes; 1 MiB when 0.
 	MaxBody int64
 
-	handlers handlers
-	view     atomic.Pointer[View]
-	stopping atomic.Bool
-	linked   atomic.Bool
-	active   atomic.Int64 // requests of callers and peers that have begun and not ended
-	attempts atomic.Uint64
-	spares   spares
-	tolds    sync.Map // told by toldKey
+	handlers  handlers
+	view      atomic.Pointer[View]
+	stopping  atomic.Bool
+	linked    atomic.Bool
+	active    atomic.Int64 // requests of callers and other entries that are in progress
+	attempts  atomic.Uint64
+	freeSlots freeSlotTable
+	outcomes  sync.Map // outcomeMetrics by outcomeKey
 
 	mu    sync.Mutex
 	gates map[string]*gate
 }
 
-// gate is a Gate with the retry budget of its service.
+// gate is a service's Gate with the service's retry budget.
 type gate struct {
 	route.Gate
 	retries route.RetryBudget
@@ -74,10 +74,10 @@
 	return tally.NoopScope
 }
 
-// View returns the view in force, nil before the first.
+// View returns the current view, or nil before the first one is set.
 func (s *Server) View() *View { return s.view.Load() }
 
-// SetView puts the view in force; when it returns, no new request is routed by an older one.
+// SetView replaces the view. Once it has returned, no new request is routed by an older view.
 func (s *Server) SetView(v *View) {
 	s.view.Store(v)
 	s.mu.Lock()
@@ -86,7 +86,7 @@
 		s.gates = make(map[string]*gate)
 	}
 	for name, svc := range v.Services {
-		s.gate(name).Set(s.limits(svc), s.routable(svc))
+		s.gateLocked(name).Set(s.limits(svc), s.routable(svc))
 	}
 	for name, g := range s.gates {
 		if v.Services[name] == nil {
@@ -95,14 +95,14 @@
 	}
 }
 
-// MoveView replaces the view by one that differs only in its offset.
+// AdvanceView replaces the view by one that differs only in its offset, which leaves the gates unchanged.
 func (s *Server) MoveView(v *View) { s.view.Store(v) }
 
 func (s *Server) limits(svc *Service) route.Limits {
 	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Elsewhere: svc.Owner != "" && svc.Owner != s.Self}
 }
 
-// routable returns the targets that this entry may give requests to.
+// routable returns the targets to which this entry may dispatch requests, which are none unless it owns the service.
 func (s *Server) routable(svc *Service) []route.Target {
 	if svc.Owner != s.Self {
 		return nil
@@ -110,32 +110,32 @@
 	return svc.Targets
 }
 
-// gate returns the service's gate; the caller holds mu.
-func (s *Server) gate(service string) *gate {
+// gateLocked returns the service's gate and creates it if needed. The caller must hold s.mu.
+func (s *Server) gateLocked(service string) *gate {
 	g := s.gates[service]
 	if g == nil {
 		g = &gate{}
-		g.Changed = s.targetChanged
+		g.Changed = s.emitTargetHealth
 		s.gates[service] = g
 	}
 	return g
 }
 
-func (s *Server) gateOf(service string) *gate {
+func (s *Server) gate(service string) *gate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.gate(service)
+	return s.gateLocked(service)
 }
 
-func (s *Server) targetChanged(instance string, sick bool) {
-	n := event.TargetRecovered
-	if sick {
-		n = event.TargetSick
+func (s *Server) emitTargetHealth(instance string, unhealthy bool) {
+	number := event.TargetRecovered
+	if unhealthy {
+		number = event.TargetSick
 	}
-	s.Events.Emit(n, event.Subject{Instance: instance}, "")
+	s.Events.Emit(number, event.Subject{Instance: instance}, "")
 }
 
-// Held returns the requests in flight on instances that this entry no longer routes to, by instance.
+// Held returns the number of requests in flight on each instance to which this entry no longer routes.
 func (s *Server) Held() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +148,7 @@
 	return held
 }
 
-// Load returns the requests in flight and waiting at this entry, and the slots that it may use.
+// Load returns the number of requests in flight and waiting at this entry, and the number of slots that it may use.
 func (s *Server) Load() (inFlight, waiting, slots int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,53 +159,53 @@
 	return inFlight, waiting, slots
 }
 
-// Ready says whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this entry.
 func (s *Server) Ready() bool { return s.linked.Load() && s.View() != nil && !s.stopping.Load() }
 
-// SetLinked says that the entry has tried to link to the other data centres.
+// SetLinkAttempted records that the entry has tried to connect to the other data centres, without which it is not ready.
 func (s *Server) SetLinked() { s.linked.Store(true) }
 
-// Stop begins a planned stop: the entry is no longer ready but serves on.
+// Stop begins a planned stop: the entry is no longer ready but continues to serve requests.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
-// Stopping says whether a planned stop has begun.
+// Stopping reports whether a planned stop has begun.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// drainLook is the time between two looks at what is in flight.
-const drainLook = 10 * time.Millisecond
+// drainPollInterval is the interval at which Drain checks for requests in progress.
+const drainPollInterval = 10 * time.Millisecond
 
-// Drain waits until no request is in flight or the context ends, and returns the context's error then.
+// Drain waits until no request is in progress. It returns the context's error when the context ends first.
 func (s *Server) Drain(ctx context.Context) error {
 	for s.active.Load() > 0 {
-		if !sleep(ctx, drainLook) {
+		if !sleep(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
 	return nil
 }
 
-// told counts the requests of one service that got one outcome.
-type told struct {
+// outcomeMetrics are the metrics of one service's requests with one outcome.
+type outcomeMetrics struct {
 	requests tally.Counter
-	time     tally.Timer
+	duration tally.Timer
 }
 
-type toldKey struct {
+type outcomeKey struct {
 	service string
 	outcome Outcome
 }
 
-// count records what a caller was told.
-func (s *Server) count(req *request, outcome Outcome, since time.Time) {
-	key := toldKey{req.Service.Name, outcome}
-	t, ok := s.tolds.Load(key)
+// recordOutcome updates the metrics for a request that has ended with the outcome.
+func (s *Server) recordOutcome(req *request, outcome Outcome, start time.Time) {
+	key := outcomeKey{req.Service.Name, outcome}
+	t, ok := s.outcomes.Load(key)
 	if !ok {
 		scope := s.metrics().Tagged(map[string]string{"service": key.service, "outcome": string(outcome)})
-		t, _ = s.tolds.LoadOrStore(key, told{scope.Counter("requests"), scope.Timer("request_time")})
+		t, _ = s.outcomes.LoadOrStore(key, outcomeMetrics{scope.Counter("requests"), scope.Timer("request_time")})
 	}
-	m := t.(told)
+	m := t.(outcomeMetrics)
 	m.requests.Inc(1)
-	m.time.Record(s.now().Sub(since))
+	m.duration.Record(s.now().Sub(start))
 }
 
 var _ http.Handler = (*Server)(nil)
--- a/serve/step.go
+++ b/serve/step.go
@@ -2,27 +2,27 @@
 
 package serve
 
-// Step is one step of a request on its way through an entry.
+// Step is a step in the processing of a request by an entry.
 type Step string
 
-// Steps of a request, in their order.
+// Steps of a request, in the order in which they occur.
 const (
 	StepAdmission  Step = "admission"
 	StepRelay      Step = "relay"
-	StepClaim      Step = "claim" // the append and the fold of the claim
+	StepClaim      Step = "claim" // appending the claim to the log and applying it to the tables
 	StepSlot       Step = "slot"
 	StepDispatch   Step = "dispatch"
 	StepAnswer     Step = "answer"
 	StepCompletion Step = "completion"
 )
 
-// Steps returns every step, so that a matrix of faults forgets none.
+// Steps returns all steps, so that tests can inject a fault at each one.
 func Steps() []Step {
 	return []Step{StepAdmission, StepRelay, StepClaim, StepSlot, StepDispatch, StepAnswer, StepCompletion}
 }
 
-// probe tells the test's switch that the step begins or has ended.
-func (s *Server) probe(step Step, after bool) {
+// reportStep calls OnStep, if it is set, before the step or after it.
+func (s *Server) reportStep(step Step, after bool) {
 	if s.Probe != nil {
 		s.Probe(step, after)
 	}
