--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package entry puts the parts of one rackstepd together.
+Package entry assembles and runs the components of a rackstepd process.
 
 	e, err := entry.New(ctx, settings, entry.Options{})
 	if err != nil {
@@ -9,9 +9,9 @@
 	}
 	err = e.Run(ctx)
 
-Run serves until the context ends, and then stops as planned: the entry is no
-longer ready, serves on until the balancer has noticed, finishes what is in
-flight, leaves the tables and returns. Its parts form one run group and stop
-together.
+Run serves until the context ends and then shuts down gracefully: the entry
+reports that it is not ready, continues to serve until the load balancer has
+noticed, waits for requests in flight, removes itself from the tables and
+returns. The components form one run group and stop together.
 */
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -22,7 +22,7 @@
 	"rackstep.dev/serve"
 )
 
-// Entry is one rackstepd.
+// Entry is a rackstepd process.
 type Entry struct {
 	settings  config.Settings
 	self      fleet.Entry
@@ -37,11 +37,11 @@
 	targets   *serve.Dispatcher
 	platform  *http.Client
 	cleanup   func()
-	// callers answers callers; made by Run.
-	callers *http.Server
+	// callerServer serves callers; it is created by Run.
+	callerServer *http.Server
 }
 
-// New opens the entry's addresses and puts its parts together.
+// New opens the entry's addresses and assembles its components.
 func New(s config.Settings, o Options) (*Entry, error) {
 	e, cleanup, err := build(s, o)
 	if err != nil {
@@ -51,33 +51,34 @@
 	return e, nil
 }
 
-// Self returns the entry's name, place, life and addresses.
+// Self returns the entry's name, data centre, boot ID and addresses.
 func (e *Entry) Self() fleet.Entry { return e.self }
 
-// Ready says whether the entry serves callers.
+// Ready reports whether the entry is ready to serve callers.
 func (e *Entry) Ready() bool { return e.server.Ready() }
 
-// Times of a planned stop.
+// Times of a planned shutdown.
 const (
 	defaultStopDelay = 3 * time.Second
-	drainTime        = 30 * time.Second
-	leaveTime        = 2 * time.Second
+	drainTimeout     = 30 * time.Second
+	leaveTimeout     = 2 * time.Second
 )
 
-// Bounds of the callers' and operators' connections.
+// Limits of the callers' and operators' connections.
 const (
-	readHeaderTime = 5 * time.Second
-	readTime       = 30 * time.Second
-	idleTime       = 75 * time.Second
-	maxHeader      = 32 << 10
+	readHeaderTimeout = 5 * time.Second
+	readTimeout       = 30 * time.Second
+	idleTimeout       = 75 * time.Second
+	maxHeaderBytes    = 32 << 10
 )
 
-// Run serves until the context ends, then stops as planned.
+// Run serves until the context ends and then shuts down gracefully.
 func (e *Entry) Run(ctx context.Context) error {
 	return e.RunUntil(ctx, func() bool { return false })
 }
 
-// RunUntil is Run, but breaks everything off as a crash would when crashed says so at the context's end; it is for tests.
+// RunUntil is like Run, but stops without a graceful shutdown if crashed returns true when the context ends. Tests use it to
+// simulate a crash.
 func (e *Entry) RunUntil(ctx context.Context, crashed func() bool) error {
 	return e.run(ctx, func() {
 		if !crashed() {
@@ -90,18 +91,18 @@
 	defer e.cleanup()
 	defer e.targets.CloseIdle()
 	defer e.platform.CloseIdleConnections()
-	defer func() { _ = e.metrics.closer.Close() }() // what is lost are the last metrics
-	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer func() { _ = e.metrics.closer.Close() }() // only the last metrics are lost on an error
+	componentsCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var g run.Group
 	end := make(chan struct{})
 	g.Add(func() error { return waitStop(ctx, end, stop) }, func(error) { close(end) })
-	for _, part := range [...]func(context.Context) error{e.mesh.Run, e.book.Run, e.control.Run} {
-		ctx, cancel := context.WithCancel(parts)
-		g.Add(func() error { return part(ctx) }, func(error) { cancel() })
+	for _, component := range [...]func(context.Context) error{e.mesh.Run, e.book.Run, e.control.Run} {
+		ctx, cancel := context.WithCancel(componentsCtx)
+		g.Add(func() error { return component(ctx) }, func(error) { cancel() })
 	}
-	e.callers = newHTTPServer(e.server)
-	addServer(&g, e.callers, e.listeners.caller, end)
+	e.callerServer = newHTTPServer(e.server)
+	addServer(&g, e.callerServer, e.listeners.caller, end)
 	addServer(&g, newHTTPServer(e.admin), e.listeners.operator, end)
 	err := g.Run()
 	e.events.Emit(event.EntryStopped, event.Subject{}, "")
@@ -113,7 +114,7 @@
 
 var errStopped = errors.New("stopped as planned")
 
-// waitStop returns when the planned stop is complete, or at once when another part has ended.
+// waitStop calls stop when ctx ends and returns when stop is complete. It returns immediately when another component has ended.
 func waitStop(ctx context.Context, end <-chan struct{}, stop func()) error {
 	select {
 	case <-ctx.Done():
@@ -124,10 +125,11 @@
 }
 
 func newHTTPServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTime, ReadTimeout: readTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHeader}
+	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, ReadTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// addServer adds the server to the group; when it was shut down its part ends with the others.
+// addServer adds the server to the group. After a graceful shutdown of the server, its actor waits for end, so that it does not stop
+// the other components early.
 func addServer(g *run.Group, srv *http.Server, ln net.Listener, end <-chan struct{}) {
 	g.Add(func() error {
 		err := srv.Serve(ln)
@@ -135,10 +137,10 @@
 			<-end
 		}
 		return err
-	}, func(error) { _ = srv.Close() }) // a planned stop has shut it down before
+	}, func(error) { _ = srv.Close() }) // a graceful shutdown has closed it already
 }
 
-// stop finishes what callers have begun and leaves the tables.
+// stop waits for callers' requests in progress and removes the entry from the tables.
 func (e *Entry) stop() {
 	e.events.Emit(event.EntryStopping, event.Subject{}, "")
 	e.server.Stop()
@@ -147,11 +149,11 @@
 		delay = defaultStopDelay
 	}
 	time.Sleep(delay)
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	_ = e.server.Drain(ctx)     // what takes longer has passed its deadline
-	_ = e.callers.Shutdown(ctx) // the last answers leave their buffers
-	ctx, cancelLeave := context.WithTimeout(context.Background(), leaveTime)
+	_ = e.server.Drain(ctx)          // requests that take longer have exceeded their deadline
+	_ = e.callerServer.Shutdown(ctx) // sends the buffered responses
+	ctx, cancelLeave := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancelLeave()
-	_ = e.control.Leave(ctx) // without it the platform's list says the same a little later
+	_ = e.control.Leave(ctx) // if it fails, the other entries learn it later from the platform's list
 }
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -17,10 +17,10 @@
 	"rackstep.dev/job"
 )
 
-// calls are the platform's calls, each of which the matrix harms in every way.
-var calls = platformtest.Calls()
+// platformCalls are the kinds of calls that the platform serves; the tests inject every fault into each of them.
+var platformCalls = platformtest.Calls()
 
-var harms = [...]struct {
+var faultCases = [...]struct {
 	name  string
 	fault platformtest.Fault
 }{
@@ -28,17 +28,18 @@
 	{"done late without an answer", platformtest.Late},
 }
 
-// workload is what runs meanwhile: short jobs of two steps, a lasting job, a cancel and a wave.
+// workload submits short jobs of two steps and records the responses.
 type workload struct {
 	d *deployment
-	// accepted are the jobs that got a 200, refused those that got a 503.
+	// accepted are the IDs of jobs that got status 200, refused those that got 503.
 	accepted, refused []string
-	next              int
+	// submitted counts the jobs and determines the next ID.
+	submitted int
 }
 
 func (w *workload) submit(node int) {
-	w.next++
-	id := fmt.Sprintf("%016x", w.next)
+	w.submitted++
+	id := fmt.Sprintf("%016x", w.submitted)
 	switch w.d.submit(node, id, step{Count: 2, Cpu: 500, MemMb: 100, EstimateMs: 1000}, step{Count: 1, Cpu: 500, MemMb: 100, DependsOn: []int{0}}) {
 	case 200:
 		w.accepted = append(w.accepted, id)
@@ -47,8 +48,9 @@
 	}
 }
 
-// settle waits until every accepted job has succeeded, and checks what callers and workers saw.
-func (w *workload) settle(node int) {
+// awaitAll waits until every accepted job has ended, and checks that no refused job is known and that the history of the workers'
+// runs violates no promise.
+func (w *workload) awaitAll(node int) {
 	w.d.c.Helper()
 	for _, id := range w.accepted {
 		w.awaitEnd(node, id)
@@ -60,25 +62,26 @@
 	w.d.checkHistory()
 }
 
-// awaitEnd waits until the job has succeeded, or was given up because workers have crashed under it.
+// awaitEnd waits until the job has succeeded, or has failed after as many workers crashed while running it as make it fail.
 func (w *workload) awaitEnd(node int, id string) {
 	w.d.c.Helper()
-	last := ""
+	state := ""
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		_, last = w.d.call(node, http.MethodGet, id, nil)
-		if last == `{"State":"succeeded"}` || (last == `{"State":"failed"}` && w.d.platform.LivesEndedUnder(id) >= job.LostProved) {
+		_, state = w.d.call(node, http.MethodGet, id, nil)
+		if state == `{"State":"succeeded"}` || (state == `{"State":"failed"}` && w.d.platform.LivesEndedUnder(id) >= job.LostProved) {
 			return
 		}
 	}
-	w.d.c.Fatalf("job %s: %s, want succeeded", id, last)
+	w.d.c.Fatalf("job %s: state %s after 90 s, want succeeded", id, state)
 }
 
-// TestEveryCallHarmedInEveryWay harms one kind of call for some seconds, in the middle of which the leader stops.
+// Each case injects one fault into two thirds of the calls of one kind for four seconds, during which the leader stops. No accepted
+// job may be lost or run twice, and no refused job may run.
 func TestEveryCallHarmedInEveryWay(t *testing.T) {
-	for _, call := range calls {
-		for _, harm := range harms {
-			t.Run(call[1:]+" "+harm.name, func(t *testing.T) {
-				onFakeTime(t, func(c *quicktest.C) {
+	for _, call := range platformCalls {
+		for _, fc := range faultCases {
+			t.Run(call[1:]+" "+fc.name, func(t *testing.T) {
+				withFakeTime(t, func(c *quicktest.C) {
 					d := deploy(c, 3, 4, nil)
 					w := &workload{d: d}
 					for i := range 4 {
@@ -88,53 +91,55 @@
 					n := 0
 					d.platform.SetFaults(func(_, path string) platformtest.Fault {
 						n++
-						if path == call && n%3 != 0 { // a third passes, so that calls overtake each other
-							return harm.fault
+						if path == call && n%3 != 0 { // a third of the calls succeeds, so that calls are carried out in another order
+							return fc.fault
 						}
 						return platformtest.None
 					})
 					time.Sleep(1500 * time.Millisecond)
-					lost := d.leader()
-					d.nodes[lost].cancel()
-					<-d.nodes[lost].ended
+					stopped := d.leader()
+					d.nodes[stopped].cancel()
+					<-d.nodes[stopped].ended
 					for i := range 2 {
-						w.submit((lost + 1 + i) % 3)
+						w.submit((stopped + 1 + i) % 3)
 					}
 					time.Sleep(2500 * time.Millisecond)
 					d.platform.SetFaults(nil)
-					w.submit((lost + 1) % 3)
-					w.settle((lost + 2) % 3)
+					w.submit((stopped + 1) % 3)
+					w.awaitAll((stopped + 2) % 3)
 				})
 			})
 		}
 	}
 }
 
-// fuzzRuns is how many random histories run, each from its own fixed seed; fuzzSteps is how long each is.
+// randomRuns is the number of random histories, each with a fixed seed of its own; randomSteps is the number of steps of each.
 const (
-	fuzzRuns  = 30
-	fuzzSteps = 25
+	randomRuns  = 30
+	randomSteps = 25
 )
 
-// TestRandomTroubleKeepsEveryPromise plays random commands against the oracle of the workers' history.
+// Random submissions, restarts, faults, lost store history and crashes of machines must not lose, duplicate or wrongly run a job,
+// which is checked against the history of the workers' runs.
 func TestRandomTroubleKeepsEveryPromise(t *testing.T) {
-	for seed := range uint64(fuzzRuns) {
+	for seed := range uint64(randomRuns) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			onFakeTime(t, func(c *quicktest.C) { randomTrouble(c, rand.New(rand.NewPCG(seed, 1)), false) })
+			withFakeTime(t, func(c *quicktest.C) { runRandomFaults(c, rand.New(rand.NewPCG(seed, 1)), false) })
 		})
 	}
 }
 
-// TestRandomTroubleWhereWorkersComeBackKeepsEveryPromise plays the same with workers that come back under their IDs.
+// The same with workers that restart under their old IDs after a crash.
 func TestRandomTroubleWhereWorkersComeBackKeepsEveryPromise(t *testing.T) {
-	for seed := range uint64(fuzzRuns) {
+	for seed := range uint64(randomRuns) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			onFakeTime(t, func(c *quicktest.C) { randomTrouble(c, rand.New(rand.NewPCG(seed, 2)), true) })
+			withFakeTime(t, func(c *quicktest.C) { runRandomFaults(c, rand.New(rand.NewPCG(seed, 2)), true) })
 		})
 	}
 }
 
-func randomTrouble(c *quicktest.C, r *rand.Rand, reborn bool) {
+// runRandomFaults plays one random history; with reborn, crashed workers restart under their old IDs.
+func runRandomFaults(c *quicktest.C, r *rand.Rand, reborn bool) {
 	d := deploy(c, 3, 4, func(p *platformtest.Platform) {
 		p.Reborn = reborn
 		p.Takes = func(task string) time.Duration {
@@ -142,7 +147,7 @@
 		}
 	})
 	w := &workload{d: d}
-	for range fuzzSteps {
+	for range randomSteps {
 		node := r.IntN(3)
 		switch r.IntN(9) {
 		case 0, 1, 2, 3:
@@ -152,10 +157,10 @@
 			<-d.nodes[node].ended
 			d.nodes[node] = d.start(node)
 		case 5:
-			call, harm, share := calls[r.IntN(len(calls))], harms[r.IntN(len(harms))].fault, r.IntN(100)
+			call, fault, percent := platformCalls[r.IntN(len(platformCalls))], faultCases[r.IntN(len(faultCases))].fault, r.IntN(100)
 			d.platform.SetFaults(func(_, path string) platformtest.Fault {
-				if path == call && r.IntN(100) < share {
-					return harm
+				if path == call && r.IntN(100) < percent {
+					return fault
 				}
 				return platformtest.None
 			})
@@ -172,5 +177,5 @@
 	}
 	d.platform.SetFaults(nil)
 	time.Sleep(5 * time.Second)
-	w.settle(r.IntN(3))
+	w.awaitAll(r.IntN(3))
 }
--- a/entry/intake_test.go
+++ b/entry/intake_test.go
@@ -19,43 +19,43 @@
 	"rackstep.dev/intake"
 )
 
-// TestEntriesHardlyWaitForEachOtherAtASlowStore has 147 entries hand in 250 jobs a second while the store takes 0.1 s for an append,
-// one after the other in each partition.
+// 147 entries submit 250 jobs per second while the store takes 0.1 s for an append and handles one append at a time in each
+// partition. With too few partitions, entries wait for each other so long that clients give up.
 func TestEntriesHardlyWaitForEachOtherAtASlowStore(t *testing.T) {
 	const (
 		entries, partitions = 147, 24
-		takes, span         = 100 * time.Millisecond, 4 * time.Second
-		every               = entries * time.Second / 250 // of one entry
+		appendTime, span    = 100 * time.Millisecond, 4 * time.Second
+		interval            = entries * time.Second / 250 // between two jobs of one entry
 	)
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		parts := min(intakeParts, partitions)
-		turns := make([]chan struct{}, parts) // a lock that fake time sees
-		for i := range turns {
-			turns[i] = make(chan struct{}, 1)
+		partitionCount := min(maxIntakePartitions, partitions)
+		locks := make([]chan struct{}, partitionCount) // not mutexes: with synctest, time does not advance while a goroutine waits for one
+		for i := range locks {
+			locks[i] = make(chan struct{}, 1)
 		}
 		var mu sync.Mutex
 		var took []time.Duration
 		var work sync.WaitGroup
 		for i := range entries {
 			name := fmt.Sprintf("front-%d", i)
-			part := partOf(name, parts)
+			partition := intakePartition(name, partitionCount)
 			w := &intake.Writer{Topic: feed.Topic{Append: func(ctx context.Context, _ feed.Batch) (int64, error) {
-				turns[part] <- struct{}{}
-				defer func() { <-turns[part] }()
-				time.Sleep(takes)
+				locks[partition] <- struct{}{}
+				defer func() { <-locks[partition] }()
+				time.Sleep(appendTime)
 				return 1, nil
 			}}}
 			work.Go(func() {
-				time.Sleep(time.Duration(i) * every / entries)
-				for n := range int(span / every) {
-					began := time.Now()
+				time.Sleep(time.Duration(i) * interval / entries)
+				for n := range int(span / interval) {
+					start := time.Now()
 					_, _, err := w.Write(context.Background(), feed.KeyedRecord{Key: fmt.Sprint(name, n), Value: []byte{1}})
 					c.Check(err, quicktest.IsNil)
 					mu.Lock()
-					took = append(took, time.Since(began))
+					took = append(took, time.Since(start))
 					mu.Unlock()
-					time.Sleep(max(0, every-time.Since(began)))
+					time.Sleep(max(0, interval-time.Since(start)))
 				}
 			})
 		}
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -12,21 +12,21 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// metrics is the entry's metric scope and what answers the scraper.
+// metrics is the entry's metric scope and the HTTP handler from which it is scraped.
 type metrics struct {
 	scope   tally.Scope
 	handler http.Handler
 	closer  io.Closer
 }
 
-const reportEvery = time.Second
+const reportInterval = time.Second
 
 func newMetrics() metrics {
-	registry := prom.NewRegistry() // of this entry alone: a process may run several
+	registry := prom.NewRegistry() // not the default registry, since a process may run several entries
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "rackstep", CachedReporter: reporter, Separator: prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
-	}, reportEvery)
+	}, reportInterval)
 	return metrics{scope: scope, handler: reporter.HTTPHandler(), closer: closer}
 }
--- a/entry/node.go
+++ b/entry/node.go
@@ -29,68 +29,73 @@
 	"rackstep.dev/pool"
 )
 
-// Topics of the product on the platform's store.
+// Names of rackstep's topics in the platform's store.
 const (
 	leadTopic   = "lead"
 	intakeTopic = "intake"
 	stateTopic  = "state"
 )
 
-// intakeParts is how many partitions the intake has at the most, of those that the store has: a partition takes one append
-// after the other, so that entries wait for each other when the store is slow. With 4 for 147 entries and a store that took
-// 0.1 s for an append jobs were taken after 2.5 s, past what their clients waited; each reads some calls more for the leader.
-const intakeParts = 24
+// maxIntakePartitions limits the number of the store's partitions that the intake topic uses.
+//
+// A partition handles one append at a time, so entries that share a partition wait for each other when the store is slow. With 4
+// partitions, 147 entries and 0.1 s for an append, jobs were accepted after 2.5 s, by which time their clients had given up. Every
+// partition costs the leader some more read calls.
+const maxIntakePartitions = 24
 
-// linkSecret is what entries prove to each other on the users' platform, whose settings give no secret: it keeps
-// strangers' mistakes out, not attackers, who can't reach the entries' ports there.
+// linkSecret is the shared secret of entries on the users' platform, whose settings contain none. It prevents accidental
+// connections from other programs. It does not stop attackers, who can't reach the entries' ports there.
 const linkSecret = "rackstep entries of one deployment"
 
-// Node is an entry on the users' platform: it takes clients' jobs, and schedules them while it leads.
+// Node is an entry on the users' platform. It accepts clients' jobs, and schedules them while it is the leader.
 type Node struct {
 	Settings *platform.Settings
-	// SettingsPath is the file that Settings came from; it is read again when it changes.
+	// SettingsPath is the file from which Settings was loaded; it is reloaded when it changes.
 	SettingsPath string
-	// Reload asks for that at once; never when nil.
+	// Reload triggers an immediate reload of the settings; optional.
 	Reload <-chan os.Signal
 	Events *event.Ring
-	// MetricsAddress is where counters and histograms are served as text; nowhere when empty.
+	// MetricsAddress is the address at which metrics are served; they are not collected when it is empty.
 	MetricsAddress string
-	// LogDropped returns how many log lines were dropped; none when nil.
+	// LogDropped returns the number of dropped log lines; optional.
 	LogDropped func() int64
-	// Clock is what proofs and clients' times go by; the steady clock, which no suspension moves, when nil: a test on fake time must not hear of
-	// the real time that passes.
+	// Clock measures the age of leadership confirmations and how long clients have waited. The monotonic clock, which does not
+	// advance while the machine is suspended, is used when nil; tests with a fake clock must not see real time.
 	Clock *clock.Clock
-	// Listen and Dial replace the network's; for tests on fake time.
+	// Listen and Dial replace the real network, in tests with a fake clock.
 	Listen func(address string) (net.Listener, error)
 	Dial   platform.Dialer
 
-	boot      string
-	store     *platform.Store
-	peers     peerTable
-	metrics   metrics
-	mesh      *peer.Mesh
-	scheduler *pool.Scheduler
-	elector   *lead.Elector
-	ingress   *platform.Ingress
-	clients   *http.Server
-	follower  *platform.Follower
-	traffic   platform.Traffic
+	boot         string
+	store        *platform.Store
+	peers        peerTable
+	metrics      metrics
+	mesh         *peer.Mesh
+	scheduler    *pool.Scheduler
+	elector      *lead.Elector
+	ingress      *platform.Ingress
+	clientServer *http.Server
+	follower     *platform.Follower
+	traffic      platform.Traffic
 }
 
-// unreadyAfter is how long the store must not have answered, on any way, for the entry to call itself not ready: it can
-// take no jobs then, and clients of a data centre that is cut off are led to others. That earned 0.011 to 0.017 of a day's worth
-// on three deployments (110 plays of one and 30 of each other, each way, of days with trouble).
-const unreadyAfter = 700 * time.Millisecond
+// maxStoreSilence is the time without a reply from the store, direct or relayed, after which the entry reports that it is not ready.
+//
+// The entry can't accept jobs then, and the clients of a data centre that is cut off are directed to others. In simulated days with
+// faults of three deployments (110 runs of one and 30 of each other, with and without it) this raised the score by 0.011 to 0.017.
+const maxStoreSilence = 700 * time.Millisecond
 
-// Times of a planned stop.
+// Times of a planned shutdown.
 const (
-	// readyMissed is how long the platform takes to notice that an entry is not ready: it asks each second, twice.
-	readyMissed = 2300 * time.Millisecond
-	// stopMargin is left of the grace for the process's own end.
-	stopMargin = 1200 * time.Millisecond
+	// unreadyNoticeTime is the time in which the platform notices that an entry is not ready. It checks every second and needs two
+	// failed checks.
+	unreadyNoticeTime = 2300 * time.Millisecond
+	// exitMargin is the part of the grace period that is reserved for the exit of the process.
+	exitMargin = 1200 * time.Millisecond
 )
 
-// Run serves until the context ends, then stops as planned; an error means that the entry could not be set up.
+// Run serves until the context ends and then shuts down gracefully. It returns an error when the entry could not be set up or one
+// of its components has failed.
 func (n *Node) Run(ctx context.Context) error {
 	n.boot = rand.Text()
 	listeners, err := n.listen()
@@ -101,21 +106,21 @@
 		n.metrics = newMetrics()
 	}
 	n.assemble(listeners.peers)
-	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	componentsCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var g run.Group
 	end := make(chan struct{})
 	g.Add(func() error { return waitStop(ctx, end, n.stop) }, func(error) { close(end) })
-	for _, part := range [...]func(context.Context) error{n.mesh.Run, n.elector.Run, n.follower.Run, n.watchSettings, n.countDropped, n.tellTraffic} {
-		ctx, cancel := context.WithCancel(parts)
-		g.Add(func() error { return part(ctx) }, func(error) { cancel() })
+	for _, component := range [...]func(context.Context) error{n.mesh.Run, n.elector.Run, n.follower.Run, n.watchSettings, n.reportDroppedLogs, n.reportTraffic} {
+		ctx, cancel := context.WithCancel(componentsCtx)
+		g.Add(func() error { return component(ctx) }, func(error) { cancel() })
 	}
-	n.clients = newHTTPServer(n.ingress)
-	addServer(&g, n.clients, listeners.clients, end)
-	addServer(&g, newHTTPServer(http.HandlerFunc(n.ready)), listeners.ready, end)
+	n.clientServer = newHTTPServer(n.ingress)
+	addServer(&g, n.clientServer, listeners.clients, end)
+	addServer(&g, newHTTPServer(http.HandlerFunc(n.serveReadiness)), listeners.readiness, end)
 	if listeners.metrics != nil {
 		addServer(&g, newHTTPServer(n.metrics.handler), listeners.metrics, end)
-		defer func() { _ = n.metrics.closer.Close() }() // what is lost are the last figures
+		defer func() { _ = n.metrics.closer.Close() }() // only the last metrics are lost on an error
 	}
 	n.Events.Emit(event.EntryStarted, event.Subject{Entry: n.Settings.Entry}, "data centre "+n.Settings.DataCentre)
 	err = g.Run()
@@ -127,8 +132,8 @@
 	return fmt.Errorf("entry %s: %w", n.Settings.Entry, err)
 }
 
-// nodeListeners are a node's open addresses; metrics is nil when its address is taken.
-type nodeListeners struct{ clients, ready, peers, metrics net.Listener }
+// nodeListeners are a node's listening sockets; metrics is nil when there is no metrics address or it can't be opened.
+type nodeListeners struct{ clients, readiness, peers, metrics net.Listener }
 
 func (n *Node) listen() (nodeListeners, error) {
 	var l nodeListeners
@@ -139,7 +144,7 @@
 		into    *net.Listener
 		address string
 	}{
-		{&l.clients, n.Settings.Listen.Clients}, {&l.ready, n.Settings.Listen.Ready},
+		{&l.clients, n.Settings.Listen.Clients}, {&l.readiness, n.Settings.Listen.Ready},
 		{&l.peers, net.JoinHostPort(n.Settings.IP, strconv.Itoa(n.Settings.Ports[0]))},
 	} {
 		ln, err := n.Listen(x.address)
@@ -160,16 +165,16 @@
 	return l, nil
 }
 
-// assemble puts the parts together.
+// assemble creates the node's components and connects them.
 func (n *Node) assemble(peers net.Listener) {
 	s := n.Settings
 	store := platform.NewStore(s, n.Dial)
 	store.Relay, store.Traffic = n.relay, &n.traffic
 	n.store = store
-	workers := &platform.Workers{Dial: n.Dial, Traffic: &n.traffic, Connections: workerConnections(s)}
+	workers := &platform.Workers{Dial: n.Dial, Traffic: &n.traffic, Connections: maxWorkerConnections(s)}
 	machines := platform.NewMachines(s, n.Dial)
 	machines.Traffic = &n.traffic
-	intakes := make([]feed.Topic, max(1, min(intakeParts, s.Store.Partitions)))
+	intakes := make([]feed.Topic, max(1, min(maxIntakePartitions, s.Store.Partitions)))
 	for i := range intakes {
 		intakes[i] = store.Own(intakeTopic, i)
 	}
@@ -178,16 +183,16 @@
 		Listener: peers, Dial: n.Dial, Events: n.Events, Serve: n.serveStream,
 	}
 	if n.Clock != nil {
-		n.Clock.Woke = n.woke
+		n.Clock.Woke = n.onResume
 	}
 	n.scheduler = &pool.Scheduler{
 		Clock: n.Clock,
 		Entry: s.Entry, Intake: intakes, State: store.Own(stateTopic, 0), Workers: store.Workers(),
 		ParseWorker: platform.ParseWorker, Calls: workers.Calls(), Machines: machines.Calls(),
 		PutWave: platform.PutWave(store.Status()), Events: n.Events,
-		BatchMost:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
+		BatchMost:  s.Store.MaxCallBytes / 2, // leaves a wide margin to the store's limit for a call
 		RecordMost: s.Store.MaxRecordBytes,
-		Processor:  s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesOfMbit,
+		Processor:  s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesPerMegabit,
 	}
 	n.scheduler.SetBounds(boundsOf(s))
 	if n.metrics.scope != nil {
@@ -204,7 +209,7 @@
 	}
 	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.Lost, n.elector.HandOver
 	n.scheduler.SetLoose, n.scheduler.LooseKept, n.scheduler.SetEarlier = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
-	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[partOf(s.Entry, len(intakes))]}, Ask: n.ask, Events: n.Events}}
+	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[intakePartition(s.Entry, len(intakes))]}, Ask: n.queryJob, Events: n.Events}}
 	n.follower = &platform.Follower{Topic: store.Operator(), Events: n.Events, Clock: n.Clock, Within: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
 		n.ingress.SetConfig(c)
 		n.scheduler.SetOrganisations(c.Organisations)
@@ -214,57 +219,60 @@
 	n.ingress.SetPatience(patienceOf(s.Bounds))
 }
 
-// patienceOf returns how long an entry that can't read the configuration goes by what it has.
+// patienceOf returns how long an entry that can't read the configuration relies on the one that it has.
 func patienceOf(b platform.Bounds) org.Patience {
 	apply := platform.Millis(b.ApplyMillis)
 	if apply == 0 {
-		return org.Patience{} // the deployment states no bound
+		return org.Patience{} // the settings contain no limit
 	}
 	return org.Patience{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
 }
 
-// woke tells that the machine was suspended: all that was learned before proves nothing until it is learned again.
-func (n *Node) woke(slept time.Duration) {
-	n.Events.Emit(event.MachineWoke, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("suspended for %v", slept.Round(time.Millisecond)))
+// onResume reports that the machine was suspended and has resumed. What the entry learned before the suspension is outdated and
+// must be confirmed again before it is relied on; Clock accounts for that by including the suspended time.
+func (n *Node) onResume(suspended time.Duration) {
+	n.Events.Emit(event.MachineWoke, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("suspended for %v", suspended.Round(time.Millisecond)))
 	if n.metrics.scope != nil {
-		n.metrics.scope.Counter("suspended_milliseconds").Inc(slept.Milliseconds())
+		n.metrics.scope.Counter("suspended_milliseconds").Inc(suspended.Milliseconds())
 	}
 }
 
-// Figures of the connections to workers.
+// Division of an entry's file descriptors.
 const (
-	// filesKept of an entry's descriptors are for files, workersShare of the others for connections to workers: the rest is for clients, peers
-	// and the platform.
-	filesKept    = 200
-	workersShare = 0.7
+	// reservedFiles is the number of descriptors reserved for files. workerFileShare is the fraction of the others that is used for
+	// connections to workers; the rest is for clients, peers and the platform.
+	reservedFiles   = 200
+	workerFileShare = 0.7
 )
 
-// workerConnections returns how many connections to workers an entry may have open, 0 if the settings state no bound.
-func workerConnections(s *platform.Settings) int {
-	return int(workersShare * float64(max(s.Limits.MaxFiles-filesKept, 0)))
+// maxWorkerConnections returns the maximum number of open connections to workers, or 0 when the settings contain no limit.
+func maxWorkerConnections(s *platform.Settings) int {
+	return int(workerFileShare * float64(max(s.Limits.MaxFiles-reservedFiles, 0)))
 }
 
-// partOf spreads entries over the partitions of the intake.
-func partOf(entry string, parts int) int {
+// intakePartition returns the partition of the intake topic to which the entry appends, by the hash of the entry's name.
+func intakePartition(entry string, partitions int) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(entry)) // it never fails, says its documentation
-	return int(h.Sum32() % uint32(parts))
+	_, _ = h.Write([]byte(entry)) // hash.Hash never returns an error
+	return int(h.Sum32() % uint32(partitions))
 }
 
-func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
-	if !n.ingress.Ready() || n.elector.Silence() > unreadyAfter {
+// serveReadiness answers the platform's readiness checks.
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if !n.ingress.Ready() || n.elector.Silence() > maxStoreSilence {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// stop finishes what clients have begun: first no new connections, then no more requests.
+// stop shuts down gracefully: the node reports that it is not ready, so that clients stop connecting to it, then it completes the
+// requests in progress.
 func (n *Node) stop() {
 	n.Events.Emit(event.EntryStopping, event.Subject{Entry: n.Settings.Entry}, "")
 	n.ingress.Stop()
 	n.elector.Resign()
-	time.Sleep(readyMissed)
-	left := platform.Seconds(n.Settings.Bounds.GraceSeconds) - readyMissed - stopMargin
+	time.Sleep(unreadyNoticeTime)
+	left := platform.Seconds(n.Settings.Bounds.GraceSeconds) - unreadyNoticeTime - exitMargin
 	ctx, cancel := context.WithTimeout(context.Background(), max(left, 0))
 	defer cancel()
-	_ = n.clients.Shutdown(ctx) // what is still open then has no time left
+	_ = n.clientServer.Shutdown(ctx) // requests that are not complete by then exceed the grace period
 }
--- a/entry/node_test.go
+++ b/entry/node_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// On a fake clock the race detector's runtime fails, see internal/trial; a node on loopback is not needed there, since
-// these tests share no memory that the packages' own tests do not.
+// The race detector's runtime fails with a fake clock, see internal/trial. No variant of these tests with real time is needed for
+// it, because they share no memory between goroutines that the packages' own tests do not share too.
 
 package entry
 
@@ -28,20 +28,20 @@
 	"rackstep.dev/platform"
 )
 
-// deployment is some nodes on the stand-in of the users' platform.
+// deployment is a set of nodes that run on a simulation of the users' platform.
 type deployment struct {
 	c        *quicktest.C
 	network  *memnet.Network
 	platform *platformtest.Platform
-	nodes    []*running
+	nodes    []*testNode
 	client   *http.Client
 	ctx      context.Context
-	// rules are the parts of the users' rules that the nodes' settings name.
+	// rules are the optional rules of the platform that are set in the nodes' settings.
 	rules []string
 }
 
-// running is one node and what ends it.
-type running struct {
+// testNode is a running node with the function that stops it and a channel that is closed when it has stopped.
+type testNode struct {
 	node   *Node
 	cancel context.CancelFunc
 	ended  chan struct{}
@@ -55,7 +55,7 @@
 	testSkew   = 6 * time.Second
 )
 
-// deploy starts nodes and workers and waits until jobs are taken.
+// deploy starts nodes and workers and waits until the nodes accept jobs.
 func deploy(c *quicktest.C, nodes, workers int, change func(p *platformtest.Platform)) *deployment {
 	d := &deployment{c: c, network: new(memnet.Network)}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -87,14 +87,14 @@
 		cancel()
 		d.platform.Stop()
 		d.client.CloseIdleConnections()
-		time.Sleep(2 * time.Minute) // idle connections of the nodes' clients end by themselves
+		time.Sleep(2 * time.Minute) // until the idle connections of the nodes' clients have been closed
 	})
 	time.Sleep(3 * time.Second)
 	return d
 }
 
-// start runs a node whose planned stop takes no time: nothing of what these tests check depends on it.
-func (d *deployment) start(i int) *running {
+// start runs a node with a short grace period, which none of these tests depends on.
+func (d *deployment) start(i int) *testNode {
 	s := &platform.Settings{Entry: fmt.Sprintf("entry-%d", i), IP: fmt.Sprintf("10.1.0.%d", i+1), DataCentre: "z", Ports: []int{7000, 7010}}
 	s.Listen.Clients, s.Listen.Ready = s.IP+":80", s.IP+":81"
 	s.Store.Address, s.Machines.Address, s.Store.Partitions = platformtest.StoreAddress, platformtest.MachinesAddress, 2
@@ -103,17 +103,17 @@
 	s.Bounds = platform.Bounds{LeaseMillis: int(testLease.Milliseconds()), StopMillis: 400, StatusSeconds: 120, GraceSeconds: 4, UpkeepSeconds: 2, MoveSeconds: 1.5, NoticeMillis: 4500, HarmMillis: 4000, ApplyMillis: int(testApply.Milliseconds()), SkewMillis: int(testSkew.Milliseconds())}
 	s.Rules = d.rules
 	ctx, cancel := context.WithCancel(d.ctx)
-	r := &running{cancel: cancel, ended: make(chan struct{}), node: &Node{
+	r := &testNode{cancel: cancel, ended: make(chan struct{}), node: &Node{
 		Settings: s, Events: &event.Ring{Entry: s.Entry}, Listen: d.network.Listen, Dial: d.network.Dial,
 	}}
 	go func() {
 		defer close(r.ended)
-		_ = r.node.Run(ctx) // a stopped node returns nothing of interest
+		_ = r.node.Run(ctx) // the error of a stopped node is not checked
 	}()
 	return r
 }
 
-// step is what tests hand in.
+// step is a step of a job that tests submit.
 type step struct {
 	Count, Cpu, MemMb, EstimateMs int
 	DependsOn                     []int `json:",omitempty"`
@@ -122,17 +122,18 @@
 	MayMiss                       int   `json:",omitempty"`
 }
 
-// call makes one request to a node and returns the status and the body.
+// call sends a request concerning a job to a node and returns the status and the response's body.
 func (d *deployment) call(node int, method, id string, body any) (int, string) {
 	b, err := json.Marshal(body)
 	d.c.Assert(err, quicktest.IsNil)
 	if body == nil {
 		b = nil
 	}
-	return d.raw(node, method, testPrefix+id, b)
+	return d.send(node, method, testPrefix+id, b)
 }
 
-func (d *deployment) raw(node int, method, path string, body []byte) (int, string) {
+// send sends a request to a node and returns the status and the response's body, or 0 and the error.
+func (d *deployment) send(node int, method, path string, body []byte) (int, string) {
 	ctx, cancel := context.WithTimeout(d.ctx, 5*time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+d.nodes[node].node.Settings.Listen.Clients+path, bytes.NewReader(body))
@@ -144,59 +145,62 @@
 		return 0, err.Error()
 	}
 	defer resp.Body.Close()
-	answer, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(answer)
+	text, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(text)
 }
 
+// submit submits a job to a node and returns the status.
 func (d *deployment) submit(node int, id string, steps ...step) int {
 	status, _ := d.call(node, http.MethodPost, id, map[string]any{"Spec": "text", "Steps": steps})
 	return status
 }
 
-// await waits until the job shows the state at the node.
+// await waits until the node reports the state for the job.
 func (d *deployment) await(node int, id, state string, within time.Duration) {
 	d.c.Helper()
-	last := ""
+	got := ""
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if _, last = d.call(node, http.MethodGet, id, nil); last == fmt.Sprintf(`{"State":%q}`, state) {
+		if _, got = d.call(node, http.MethodGet, id, nil); got == fmt.Sprintf(`{"State":%q}`, state) {
 			return
 		}
 	}
-	d.c.Fatalf("job %s: %s, want %s", id, last, state)
+	d.c.Fatalf("job %s: state %s after %v, want %s", id, got, within, state)
 }
 
+// checkHistory checks that the history of the workers' runs violates no promise.
 func (d *deployment) checkHistory() {
 	d.c.Helper()
 	d.c.Assert(d.platform.Check(), quicktest.HasLen, 0)
 }
 
-// leader returns the index of the node that leads, by the newest record that a node has read.
+// leader returns the index of the leading node according to the newest leader record that any node has read.
 func (d *deployment) leader() int {
 	d.c.Helper()
-	newest, at := int64(-1), -1
+	newest, leader := int64(-1), -1
 	for i, n := range d.nodes {
 		if r := n.node.elector.Latest(); r.Fence > newest && !r.Released {
 			newest = r.Fence
-			at = i
+			leader = i
 			for k, m := range d.nodes {
 				if m.node.Settings.Entry == r.Entry {
-					at = k
+					leader = k
 				}
 			}
 		}
 	}
-	d.c.Assert(at >= 0, quicktest.IsTrue, quicktest.Commentf("nobody leads"))
-	return at
+	d.c.Assert(leader >= 0, quicktest.IsTrue, quicktest.Commentf("no node is the leader"))
+	return leader
 }
 
-func onFakeTime(t *testing.T, f func(c *quicktest.C)) {
+// withFakeTime runs f in a synctest bubble.
+func withFakeTime(t *testing.T, f func(c *quicktest.C)) {
 	runtime.GC()
-	runtime.GC() // pools must not hand timers of another bubble on
+	runtime.GC() // empties sync.Pools, which would otherwise reuse timers of another bubble
 	synctest.Test(t, func(t *testing.T) { f(quicktest.New(t)) })
 }
 
 func TestAJobOfTwoStepsSucceeds(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 3, 3, nil)
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 3, Cpu: 500, MemMb: 100, EstimateMs: 900}, step{Count: 2, Cpu: 500, MemMb: 100, DependsOn: []int{0}}), quicktest.Equals, 200)
 		d.await(1, "00000000000000a1", "succeeded", 4*time.Second)
@@ -206,7 +210,7 @@
 }
 
 func TestBadInputIsRefusedWithAReason(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 1, 1, nil)
 		for _, test := range [...]struct {
 			name, id, body string
@@ -221,19 +225,19 @@
 			{"a text over 4000 bytes", "00000000000000a1", fmt.Sprintf(`{"Spec":%q,"Steps":[{"Count":1}]}`, bytes.Repeat([]byte("x"), 4001)), 400},
 			{"a body over the limit", "00000000000000a1", fmt.Sprintf(`{"Spec":%q}`, bytes.Repeat([]byte("x"), 300<<10)), 413},
 		} {
-			status, body := d.raw(0, http.MethodPost, testPrefix+test.id, []byte(test.body))
+			status, body := d.send(0, http.MethodPost, testPrefix+test.id, []byte(test.body))
 			c.Check(status, quicktest.Equals, test.want, quicktest.Commentf("%s: %s", test.name, body))
 			c.Check(json.Valid([]byte(body)), quicktest.IsTrue, quicktest.Commentf("%s: %s", test.name, body))
 		}
-		status, _ := d.raw(0, http.MethodGet, "/nowhere/00000000000000a1", nil)
+		status, _ := d.send(0, http.MethodGet, "/nowhere/00000000000000a1", nil)
 		c.Assert(status, quicktest.Equals, 404)
 		status, _ = d.call(0, http.MethodGet, "00000000000000a1", nil)
-		c.Assert(status, quicktest.Equals, 410) // nothing was kept
+		c.Assert(status, quicktest.Equals, 410) // none of the jobs was stored
 	})
 }
 
 func TestTheSameJobTwiceIsOneJob(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 2, nil)
 		for node := range 2 {
 			c.Assert(d.submit(node, "00000000000000a1", step{Count: 2, Cpu: 500, MemMb: 100}), quicktest.Equals, 200)
@@ -246,7 +250,7 @@
 }
 
 func TestACancelledJobStopsAndStaysCancelled(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 2, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 0 } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 2, Cpu: 500, MemMb: 100, Daemon: true, MayMiss: 1}), quicktest.Equals, 200)
 		time.Sleep(time.Second)
@@ -261,17 +265,18 @@
 	})
 }
 
+// The leader stops while tasks are running. The next leader must neither lose a job nor run a task a second time.
 func TestALostLeaderLosesAndDoublesNothing(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 3, 3, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 4 * time.Second } })
 		for i := range 6 {
 			c.Assert(d.submit(i%3, fmt.Sprintf("%016x", i), step{Count: 3, Cpu: 1000, MemMb: 100}), quicktest.Equals, 200)
 		}
 		time.Sleep(1500 * time.Millisecond)
-		lost := d.leader()
-		d.nodes[lost].cancel()
-		<-d.nodes[lost].ended
-		other := (lost + 1) % 3
+		stopped := d.leader()
+		d.nodes[stopped].cancel()
+		<-d.nodes[stopped].ended
+		other := (stopped + 1) % 3
 		for i := range 6 {
 			d.await(other, fmt.Sprintf("%016x", i), "succeeded", 20*time.Second)
 		}
@@ -280,8 +285,9 @@
 	})
 }
 
+// All entries stop right after a job was acknowledged. The restarted entries must still run it.
 func TestAllEntriesLostRightAfterAnAck(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 2, nil)
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 2, Cpu: 500, MemMb: 100}), quicktest.Equals, 200)
 		for _, n := range d.nodes {
@@ -296,8 +302,9 @@
 	})
 }
 
+// While the store fails for longer than a lease, jobs must be refused quickly, and running tasks must go on without being run again.
 func TestWithoutTheStoreJobsAreRefusedAndRunsGoOn(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 2, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 20 * time.Second } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 2, Cpu: 500, MemMb: 100}), quicktest.Equals, 200)
 		time.Sleep(time.Second)
@@ -308,20 +315,22 @@
 			return platformtest.None
 		})
 		time.Sleep(2 * time.Second)
-		began := time.Now()
+		start := time.Now()
 		c.Assert(d.submit(0, "00000000000000b2", step{Count: 1, Cpu: 500, MemMb: 100}), quicktest.Equals, 503)
-		c.Assert(time.Since(began) < time.Second, quicktest.IsTrue)
+		c.Assert(time.Since(start) < time.Second, quicktest.IsTrue)
 		time.Sleep(14 * time.Second) // longer than a lease
 		d.platform.SetFaults(nil)
 		d.await(1, "00000000000000a1", "succeeded", 12*time.Second)
-		c.Assert(d.platform.Runs(), quicktest.HasLen, 2) // neither lapsed
+		c.Assert(d.platform.Runs(), quicktest.HasLen, 2) // no lease expired
 		status, _ := d.call(0, http.MethodGet, "00000000000000b2", nil)
-		c.Assert(status, quicktest.Equals, 410) // what was refused never runs
+		c.Assert(status, quicktest.Equals, 410) // a refused job never runs
 	})
 }
 
+// Three quarters of the calls that start tasks are carried out late, are carried out without a reply, or get no reply. A retried
+// start must not run a task twice.
 func TestStartsCarriedOutLateNeverDouble(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 3, nil)
 		n := 0
 		d.platform.SetFaults(func(_, path string) platformtest.Fault {
@@ -343,12 +352,13 @@
 
 func TestACrashedWorkersTasksStartElsewhereOnce(t *testing.T) {
 	for _, reborn := range [...]bool{false, true} {
-		t.Run(fmt.Sprintf("back under its ID %t", reborn), func(t *testing.T) { crashOnce(t, reborn) })
+		t.Run(fmt.Sprintf("back under its ID %t", reborn), func(t *testing.T) { testWorkerCrash(t, reborn) })
 	}
 }
 
-func crashOnce(t *testing.T, reborn bool) {
-	onFakeTime(t, func(c *quicktest.C) {
+// testWorkerCrash crashes a machine with running tasks; with reborn, its worker restarts under its old ID.
+func testWorkerCrash(t *testing.T, reborn bool) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 3, func(p *platformtest.Platform) {
 			p.Reborn = reborn
 			p.Takes = func(string) time.Duration { return 3 * time.Second }
@@ -364,7 +374,7 @@
 }
 
 func TestAJobThatAlwaysFailsFailsAfterItsAttempts(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 3, func(p *platformtest.Platform) { p.Fails = func(string, string) bool { return true } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 1, Cpu: 1000, MemMb: 100}), quicktest.Equals, 200)
 		d.await(0, "00000000000000a1", "failed", 10*time.Second)
@@ -373,7 +383,7 @@
 }
 
 func TestAWaveMaintainsEveryInstanceAndSparesWhatLasts(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 4, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 0 } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 3, Cpu: 1000, MemMb: 100, Daemon: true, MayMiss: 1}), quicktest.Equals, 200)
 		time.Sleep(2 * time.Second)
@@ -388,7 +398,7 @@
 		time.Sleep(4 * time.Second)
 		running := 0
 		for _, r := range d.platform.Runs() {
-			c.Assert(r.How == "" || r.How == "stopped", quicktest.IsTrue, quicktest.Commentf("%+v", r)) // none died with its instance
+			c.Assert(r.How == "" || r.How == "stopped", quicktest.IsTrue, quicktest.Commentf("%+v", r)) // no run ended with its instance
 			if r.To.IsZero() {
 				running++
 			}
@@ -398,10 +408,11 @@
 	})
 }
 
-// TestADrainedDataCentreGetsNothingUntilItIsTakenBack drains one of two data centres under load, stops the leader and has the history forgotten meanwhile, and takes it
-// back: the next leader starts nothing there, what lasts leaves as fast as it may be missed, and what begins later begins there too.
+// One of two data centres is drained under load and taken back later. Meanwhile the leader restarts and the store drops its history.
+// The next leader must start nothing in the drained data centre, daemons must leave it as fast as MayMiss allows, and tasks
+// must start there again after it was taken back.
 func TestADrainedDataCentreGetsNothingUntilItIsTakenBack(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 3, 6, func(p *platformtest.Platform) {
 			p.ZoneOf = func(machine string) string { return map[bool]string{true: "east", false: "west"}[machine[1]%2 == 0] }
 			p.Takes = func(task string) time.Duration {
@@ -419,7 +430,7 @@
 				c.Check(d.submit(jobs%3, fmt.Sprintf("%016x", jobs), step{Count: 4, Cpu: 1000, MemMb: 100, EstimateMs: 300}), quicktest.Equals, 200)
 			}
 		}
-		began := func(zone string, from, to time.Time) (n int) {
+		startedIn := func(zone string, from, to time.Time) (n int) {
 			for _, r := range d.platform.Runs() {
 				if r.Zone == zone && r.From.After(from) && r.From.Before(to) {
 					n++
@@ -428,7 +439,7 @@
 			return n
 		}
 		load(3 * time.Second)
-		c.Check(began("east", time.Time{}, time.Now()) > 0, quicktest.IsTrue)
+		c.Check(startedIn("east", time.Time{}, time.Now()) > 0, quicktest.IsTrue)
 		d.platform.Drain("east", true)
 		drained := time.Now().Add(500 * time.Millisecond)
 		load(3 * time.Second)
@@ -440,15 +451,15 @@
 		time.Sleep(3 * time.Second)
 		load(3 * time.Second)
 		back := time.Now()
-		c.Check(began("east", drained, back), quicktest.Equals, 0)
-		c.Check(began("west", drained, back) > 0, quicktest.IsTrue)
+		c.Check(startedIn("east", drained, back), quicktest.Equals, 0)
+		c.Check(startedIn("west", drained, back) > 0, quicktest.IsTrue)
 		for _, r := range d.platform.Runs() {
-			c.Check(r.Zone == "east" && r.To.IsZero(), quicktest.IsFalse, quicktest.Commentf("it is not empty: %+v", r))
+			c.Check(r.Zone == "east" && r.To.IsZero(), quicktest.IsFalse, quicktest.Commentf("the drained data centre still runs %+v", r))
 		}
 		d.platform.Drain("east", false)
 		time.Sleep(time.Second)
 		load(3 * time.Second)
-		c.Check(began("east", back, time.Now()) > 0, quicktest.IsTrue)
+		c.Check(startedIn("east", back, time.Now()) > 0, quicktest.IsTrue)
 		for i := 1; i <= jobs; i++ {
 			d.await(i%3, fmt.Sprintf("%016x", i), "succeeded", 30*time.Second)
 		}
@@ -456,8 +467,9 @@
 	})
 }
 
+// The store drops its history several times while jobs are submitted. The nodes must continue from the newest records.
 func TestAForgottenHistoryIsReadFromTheNewest(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 2, nil)
 		for i := range 30 {
 			c.Assert(d.submit(i%2, fmt.Sprintf("%016x", i), step{Count: 1, Cpu: 100, MemMb: 10}), quicktest.Equals, 200)
@@ -473,7 +485,7 @@
 }
 
 func TestAnEntryThatTheStoreDoesNotAnswerIsNotReady(t *testing.T) {
-	onFakeTime(t, func(c *quicktest.C) {
+	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 2, nil)
 		ready := func() bool {
 			resp, err := d.client.Get("http://" + d.nodes[0].node.Settings.Listen.Ready + "/ready")
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -29,33 +29,34 @@
 	"rackstep.dev/serve"
 )
 
-// Options are what a process or a test sets beside the settings; the zero value is what rackstepd uses.
+// Options are set by the process or a test in addition to the settings. The zero value is valid.
 type Options struct {
-	// Logger receives the events; none when nil.
+	// Logger receives the events; they are not logged when nil.
 	Logger log.Logger
-	// Platform sends requests to the platform; a fault switch of tests.
+	// Platform sends requests to the platform; the network is used when nil. Tests use it to inject faults.
 	Platform http.RoundTripper
-	// Clock tells the time since the platform's was heard; the steady clock, which no suspension moves, when nil.
+	// Clock measures the time since the platform's time was last received. The monotonic clock, which does not advance while the
+	// machine is suspended, is used when nil.
 	Clock *clock.Clock
-	// Listen and Dial replace the network's; for tests on fake time.
+	// Listen and Dial replace those of package net, in tests with a fake clock.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	// Probe is called at each step of a request; a fault switch of tests.
+	// OnStep is called before and after each step of a request. Tests use it to inject faults.
 	Probe func(step serve.Step, after bool)
-	// Cut says that no bytes may pass to or from the peer; a fault switch of tests.
+	// Partitioned reports whether this entry is partitioned from the peer. Tests use it to inject faults.
 	Cut func(entry string) bool
 }
 
-// logs are the two streams that entries keep in the platform's service.
+// logs are the two logs that entries keep in the platform's log service.
 type logs struct{ fleet, claims *feed.Log }
 
-// listeners are the entry's open addresses.
+// listeners are the entry's listening sockets.
 type listeners struct{ caller, operator, peer net.Listener }
 
 func (l listeners) close() {
 	for _, x := range [...]net.Listener{l.caller, l.operator, l.peer} {
 		if x != nil {
-			_ = x.Close() // it may be closed already
+			_ = x.Close() // an error means that it is closed already
 		}
 	}
 }
@@ -69,7 +70,7 @@
 
 func newClock(o Options) *feed.Clock { return &feed.Clock{Local: o.Clock} }
 
-// meters count what control sends and receives.
+// meters count the bytes that control exchanges with peers and with the platform.
 type meters struct{ peers, platform *meter.Meter }
 
 func newMeters() meters { return meters{peers: new(meter.Meter), platform: new(meter.Meter)} }
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -18,36 +18,38 @@
 	"rackstep.dev/platform"
 )
 
-// Figures of the relays.
+// Limits and times of relayed calls to the store.
 const (
-	// peersMost bounds the peers to which an entry keeps links, besides the leader and the seeds.
-	peersMost = 4
-	// relayTries is how many peers are asked for one call.
-	relayTries = 4
-	// badFor is how long a peer that gave no answer is asked only after all others.
-	badFor = 3 * time.Second
-	// relayMargin is left of a call's time for the answer's way back, and relayPatience is for calls without a bound.
-	relayMargin   = 20 * time.Millisecond
-	relayPatience = time.Second
+	// maxHeardPeers limits the number of peers to which an entry keeps links, besides the leader and the seeds.
+	maxHeardPeers = 4
+	// maxRelayAttempts limits the number of peers that are tried for one call.
+	maxRelayAttempts = 4
+	// unresponsiveBackoff is the time in which a peer that did not reply is tried only after all others.
+	unresponsiveBackoff = 3 * time.Second
+	// relayMargin is the part of a call's remaining time that is reserved for returning the reply.
+	relayMargin = 20 * time.Millisecond
+	// defaultRelayTimeout is the timeout of calls without a deadline.
+	defaultRelayTimeout = time.Second
 )
 
-// peerTable holds the addresses for peers of other entries that have asked this one something.
+// peerTable holds the peer addresses of other entries that have opened a stream to this one.
 type peerTable struct {
 	mu        sync.Mutex
 	addresses []string
-	// good is the peer that last made a call to the store; bad are those that gave no answer, and until when they rest.
-	good string
-	bad  map[string]time.Time
+	// preferred is the peer that last relayed a call successfully.
+	preferred string
+	// backoffUntil is when the backoff of the peers that did not reply ends.
+	backoffUntil map[string]time.Time
 }
 
-// heard notes a peer, in place of one without a link when there are enough; it says whether that was news.
-func (p *peerTable) heard(address string, up func() []string) bool {
+// add adds a peer and reports whether the table has changed. When the table is full, the peer replaces one without a link.
+func (p *peerTable) add(address string, up func() []string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if slices.Contains(p.addresses, address) {
 		return false
 	}
-	if len(p.addresses) < peersMost {
+	if len(p.addresses) < maxHeardPeers {
 		p.addresses = append(p.addresses, address)
 		return true
 	}
@@ -67,35 +69,36 @@
 	return slices.Clone(p.addresses)
 }
 
-func (p *peerTable) setGood(address string) {
+// markResponsive makes the peer the preferred one.
+func (p *peerTable) markResponsive(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.good = address
+	p.preferred = address
 }
 
-// setBad lets a peer that gave no answer rest.
-func (p *peerTable) setBad(address string) {
+// markUnresponsive starts the backoff of a peer that did not reply.
+func (p *peerTable) markUnresponsive(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.bad == nil {
-		p.bad = make(map[string]time.Time)
+	if p.backoffUntil == nil {
+		p.backoffUntil = make(map[string]time.Time)
 	}
-	p.bad[address] = time.Now().Add(badFor)
-	if p.good == address {
-		p.good = ""
+	p.backoffUntil[address] = time.Now().Add(unresponsiveBackoff)
+	if p.preferred == address {
+		p.preferred = ""
 	}
 }
 
-// order sorts peers by what can be expected of them: the last good one first, those that rest last.
-func (p *peerTable) order(addresses []string) {
+// sortByHealth sorts peers: the preferred one first, those in backoff last.
+func (p *peerTable) sortByHealth(addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	rank := func(a string) int {
 		switch {
-		case a == p.good:
+		case a == p.preferred:
 			return 0
-		case now.Before(p.bad[a]):
+		case now.Before(p.backoffUntil[a]):
 			return 2
 		}
 		return 1
@@ -103,22 +106,22 @@
 	slices.SortStableFunc(addresses, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
-// followLeader keeps a link to the entry that schedules.
+// followLeader updates the links when the leader changes.
 func (n *Node) followLeader(lead.Record) { n.linkPeers() }
 
-// Leads says whether this entry scheduled when it last proved it to the store.
+// IsLeader reports whether a recent renewal in the store has confirmed this entry as the leader.
 func (n *Node) Leads() bool { return n.elector != nil && n.elector.Confirmed() }
 
-// linkPeers keeps links to the leader, the seeds and those that were heard of.
+// linkPeers sets the peers to which links are kept: the leader, the seeds and the peers of the table.
 func (n *Node) linkPeers() {
 	var peers []peer.Address
 	for _, a := range n.peerAddresses() {
-		peers = append(peers, peer.Address{Entry: a, Address: a}) // links are named by address
+		peers = append(peers, peer.Address{Entry: a, Address: a}) // links are identified by address
 	}
 	n.mesh.SetPeers(context.Background(), peers)
 }
 
-// peerAddresses returns the addresses of the leader, the seeds and those that were heard of, without this entry's own.
+// peerAddresses returns the addresses of the leader, the seeds and the peers of the table, without this entry's own.
 func (n *Node) peerAddresses() []string {
 	var out []string
 	add := func(address string) {
@@ -131,7 +134,7 @@
 	}
 	for _, s := range n.Settings.Seeds {
 		if host, _, err := net.SplitHostPort(s); err == nil {
-			add(net.JoinHostPort(host, strconv.Itoa(n.Settings.Ports[0]))) // ports are alike on all machines
+			add(net.JoinHostPort(host, strconv.Itoa(n.Settings.Ports[0]))) // entries use the same ports on all machines
 		}
 	}
 	for _, a := range n.peers.all() {
@@ -140,31 +143,32 @@
 	return out
 }
 
-// relay has a peer make a call to the store; the error is platform.ErrRelayUnsent or platform.ErrRelayLost.
+// relay makes a call to the store through a peer. It tries the next peer when one has not made the call, or when the store may have
+// turned away only that one; the error is platform.ErrRelayUnsent or platform.ErrRelayLost.
 func (n *Node) relay(ctx context.Context, c platform.StoreCall) (platform.StoreReply, error) {
-	left := relayPatience
+	remaining := defaultRelayTimeout
 	if d, ok := ctx.Deadline(); ok {
-		left = time.Until(d) - relayMargin
+		remaining = time.Until(d) - relayMargin
 	}
-	open := &peerpb.Open{Kind: &peerpb.Open_Store{Store: &peerpb.StoreCall{Method: c.Method, Uri: c.URI, Body: c.Body, RemainingMs: left.Milliseconds()}}}
+	open := &peerpb.Open{Kind: &peerpb.Open_Store{Store: &peerpb.StoreCall{Method: c.Method, Uri: c.URI, Body: c.Body, RemainingMs: remaining.Milliseconds()}}}
 	up := n.mesh.Up()
 	addresses := n.peerAddresses()
-	n.peers.order(addresses)
-	tries := 0
+	n.peers.sortByHealth(addresses)
+	attempts := 0
 	last := platform.StoreReply{}
 	for _, address := range addresses {
-		if !slices.Contains(up, address) || tries == relayTries {
+		if !slices.Contains(up, address) || attempts == maxRelayAttempts {
 			continue
 		}
-		tries++
+		attempts++
 		var a peerpb.StoreAnswer
-		err := n.converse(ctx, address, open, &a)
+		err := n.callPeer(ctx, address, open, &a)
 		switch {
-		case errors.Is(err, errBroken), err == nil && a.Status == 0 && !a.Unsent:
-			n.peers.setBad(address)
+		case errors.Is(err, errNoReply), err == nil && a.Status == 0 && !a.Unsent:
+			n.peers.markUnresponsive(address)
 			return last, platform.ErrRelayLost
 		case err == nil && a.Status != 0 && !platform.TurnsAway(int(a.Status)):
-			n.peers.setGood(address)
+			n.peers.markResponsive(address)
 			return platform.StoreReply{Status: int(a.Status), Body: a.Body}, nil
 		case err == nil && a.Status != 0:
 			last = platform.StoreReply{Status: int(a.Status), Body: a.Body}
@@ -176,8 +180,8 @@
 	return last, platform.ErrRelayUnsent
 }
 
-// answerStore makes a call to the store for another entry.
-func (n *Node) answerStore(ctx context.Context, c *peerpb.StoreCall) *peerpb.StoreAnswer {
+// handleStoreCall makes a call to the store on behalf of another entry.
+func (n *Node) handleStoreCall(ctx context.Context, c *peerpb.StoreCall) *peerpb.StoreAnswer {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.RemainingMs)*time.Millisecond)
 	defer cancel()
 	reply, err := n.store.Direct(ctx, platform.StoreCall{Method: c.Method, URI: c.Uri, Body: c.Body})
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -13,49 +13,49 @@
 	"rackstep.dev/pool"
 )
 
-// reloadEvery is the pause between two looks at the settings file, which may change without a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is the interval at which the settings file is checked for changes that were not announced by a signal.
+const reloadInterval = 2 * time.Second
 
-// watchSettings reads the settings again when it is asked to and when the file has changed, until the context ends.
+// watchSettings reloads the settings on request and when the file has changed, until the context ends.
 func (n *Node) watchSettings(ctx context.Context) error {
-	look := time.NewTicker(reloadEvery)
-	defer look.Stop()
-	changed := n.settingsTime()
+	ticker := time.NewTicker(reloadInterval)
+	defer ticker.Stop()
+	modTime := n.settingsModTime()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-n.Reload:
-		case <-look.C:
-			if n.settingsTime().Equal(changed) {
+		case <-ticker.C:
+			if n.settingsModTime().Equal(modTime) {
 				continue
 			}
 		}
-		changed = n.settingsTime()
+		modTime = n.settingsModTime()
 		n.reload()
 	}
 }
 
-// countDropped keeps the number of dropped log lines among the metrics, until the context ends.
-func (n *Node) countDropped(ctx context.Context) error {
+// reportDroppedLogs reports the number of dropped log lines as a metric until the context ends.
+func (n *Node) reportDroppedLogs(ctx context.Context) error {
 	if n.LogDropped == nil || n.metrics.scope == nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	t := time.NewTicker(reloadEvery)
-	defer t.Stop()
+	ticker := time.NewTicker(reloadInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
+		case <-ticker.C:
 			n.metrics.scope.Gauge("log_dropped").Update(float64(n.LogDropped()))
 		}
 	}
 }
 
-// settingsTime returns when the file was last written, and the zero time if that can't be told.
-func (n *Node) settingsTime() time.Time {
+// settingsModTime returns the settings file's modification time, or the zero time if the file can't be examined.
+func (n *Node) settingsModTime() time.Time {
 	info, err := os.Stat(n.SettingsPath)
 	if err != nil {
 		return time.Time{}
@@ -63,7 +63,7 @@
 	return info.ModTime()
 }
 
-// reload puts new bounds in force; a file with mistakes changes nothing.
+// reload applies the bounds of the settings file. A file with errors changes nothing.
 func (n *Node) reload() {
 	s, err := platform.LoadSettings(n.SettingsPath)
 	if err != nil {
@@ -76,7 +76,7 @@
 	n.Events.Emit(event.SettingsReloaded, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("bounds in force; addresses changed, which needs a restart: %t", restart))
 }
 
-// boundsOf returns the settings' bounds as the scheduler wants them.
+// boundsOf converts the settings' bounds for the scheduler.
 func boundsOf(s *platform.Settings) pool.Bounds {
 	return pool.Bounds{
 		Lease: platform.Millis(s.Bounds.LeaseMillis), Stop: platform.Millis(s.Bounds.StopMillis),
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -29,7 +29,7 @@
 	"rackstep.dev/serve"
 )
 
-// newAuthority makes an authority and one certificate for 127.0.0.1, and returns their files.
+// newAuthority creates a self-signed certificate for 127.0.0.1 that is also a certificate authority, and returns its files.
 func newAuthority(c *quicktest.C) config.TLS {
 	dir := c.TempDir()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -71,7 +71,7 @@
 func TestTLSProtectsEveryAddress(t *testing.T) {
 	c := quicktest.New(t)
 	platform := httptest.NewServer(standin.New())
-	c.Cleanup(platform.Close) // after the entries, whose reads wait for records
+	c.Cleanup(platform.Close) // runs after the entries have stopped, whose reads block until there are records
 	files := newAuthority(c)
 	first := startEntry(c, "a", platform.URL, files, nil)
 	peer := []config.Peer{{Entry: "a", DataCentre: "a", Address: first.Self().PeerAddress}}
@@ -80,15 +80,15 @@
 
 	pool, err := config.Authority(files.Authority)
 	c.Assert(err, quicktest.IsNil)
-	trusting := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	api := &admin.Client{Address: first.Self().OperatorAddress, Token: "boot", TLS: true, HTTP: trusting}
+	tlsClient := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
+	api := &admin.Client{Address: first.Self().OperatorAddress, Token: "boot", TLS: true, HTTP: tlsClient}
 	conf := fleet.Configuration{
 		DataCentres: []fleet.DataCentre{{Name: "a"}}, Operators: []fleet.Operator{{Name: "o", TokenHash: serve.TokenHash("op")}},
 	}
 	_, err = api.Apply(context.Background(), admin.Apply{Configuration: conf})
 	c.Assert(err, quicktest.IsNil)
 	api.Token = "op"
-	for { // the link of b and a comes up; the stranger's never does
+	for { // until a and b are linked; the stranger, with another authority, must not be
 		st, err := api.Status(context.Background())
 		c.Assert(err, quicktest.IsNil)
 		if len(st.Entries) == 2 {
@@ -97,14 +97,14 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	resp, err := trusting.Get("https://" + first.Self().CallerAddress + "/health/ready")
+	resp, err := tlsClient.Get("https://" + first.Self().CallerAddress + "/health/ready")
 	c.Assert(err, quicktest.IsNil)
 	resp.Body.Close()
 	resp, err = http.Get("http://" + first.Self().CallerAddress + "/health/ready")
 	c.Assert(err, quicktest.IsNil)
 	resp.Body.Close()
-	c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadRequest) // net/http tells a client that speaks in the clear
-	plain := &admin.Client{Address: first.Self().OperatorAddress, Token: "op"}
-	_, err = plain.Status(context.Background())
+	c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadRequest) // the response of net/http to a client without TLS
+	withoutTLS := &admin.Client{Address: first.Self().OperatorAddress, Token: "op"}
+	_, err = withoutTLS.Status(context.Background())
 	c.Assert(err, quicktest.IsNotNil)
 }
--- a/entry/traffic.go
+++ b/entry/traffic.go
@@ -10,32 +10,33 @@
 	"rackstep.dev/event"
 )
 
-// Figures of telling what the link carries.
+// Settings of the reports on the link's usage.
 const (
-	trafficEvery = 5 * time.Second
-	// trafficShare is the part of the link from which an entry tells it although it does not schedule.
-	trafficShare = 0.1
-	// bytesOfMbit are the bytes of a megabit.
-	bytesOfMbit = 1e6 / 8
+	trafficInterval = 5 * time.Second
+	// followerTrafficShare is the fraction of the link's capacity above which an entry that is not the leader emits the event too.
+	followerTrafficShare = 0.1
+	// bytesPerMegabit converts megabits to bytes.
+	bytesPerMegabit = 1e6 / 8
 )
 
-// tellTraffic tells by kind what the calls to the platform and to workers take on the link, until the context ends.
-func (n *Node) tellTraffic(ctx context.Context) error {
-	t := time.NewTicker(trafficEvery)
-	defer t.Stop()
+// reportTraffic reports the traffic of calls to the platform and to workers, by kind of call, until the context ends.
+func (n *Node) reportTraffic(ctx context.Context) error {
+	ticker := time.NewTicker(trafficInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.C:
-			n.tellUses()
+		case <-ticker.C:
+			n.reportTrafficOnce()
 		}
 	}
 }
 
-func (n *Node) tellUses() {
+// reportTrafficOnce updates the metrics, and emits the event link-used when this entry is the leader or uses much of the link.
+func (n *Node) reportTrafficOnce() {
 	uses := n.traffic.Take()
-	share := n.linkShare(float64(uses.Bytes()) / trafficEvery.Seconds())
+	share := n.linkShare(float64(uses.Bytes()) / trafficInterval.Seconds())
 	if n.metrics.scope != nil {
 		for kind, u := range uses {
 			scope := n.metrics.scope.Tagged(map[string]string{"call": kind})
@@ -44,15 +45,15 @@
 		}
 		n.metrics.scope.Gauge("link_share").Update(share)
 	}
-	if n.Leads() || share > trafficShare {
-		n.Events.Emit(event.LinkUsed, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("share=%.2f over=%v calls/sent/received: %v", share, trafficEvery, uses))
+	if n.Leads() || share > followerTrafficShare {
+		n.Events.Emit(event.LinkUsed, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("share=%.2f over=%v calls/sent/received: %v", share, trafficInterval, uses))
 	}
 }
 
-// linkShare returns which part of the link so many bytes a second are, 0 if the settings tell of no link.
-func (n *Node) linkShare(bytes float64) float64 {
+// linkShare returns the fraction of the link's capacity that the bytes per second use, or 0 when the settings contain no capacity.
+func (n *Node) linkShare(bytesPerSecond float64) float64 {
 	if n.Settings.Limits.LinkMbps <= 0 {
 		return 0
 	}
-	return bytes / (n.Settings.Limits.LinkMbps * bytesOfMbit)
+	return bytesPerSecond / (n.Settings.Limits.LinkMbps * bytesPerMegabit)
 }
