--- a/entry/peercall.go
+++ b/entry/peercall.go
@@ -16,7 +16,7 @@
 )
 
 // errNoReply means that a message was sent to a peer and no reply was received.
-var errNoReply = errors.New("the peer did not reply")
+var errNoReply = errors.New("the peer did not answer")
 
 // callPeer sends a message to a peer and receives the reply. After errNoReply, the peer may have carried out the request.
 //
@@ -70,7 +70,7 @@
 	}
 	if !a.Known && !a.Certain {
 		n.elector.Look()
-		return job.Answer{}, fmt.Errorf("query job %q at entry %s: %w", q.ID, leader, pool.ErrNotLeading)
+		return job.Answer{}, fmt.Errorf("ask %s: %w", leader, pool.ErrNotLeading)
 	}
 	return job.Answer{Known: a.Known, Certain: a.Certain, State: job.State(a.State), Pending: int(a.Pending), Organisation: a.Organisation}, nil
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -16,13 +16,13 @@
 // Errors of an Intake.
 var (
 	// ErrRefused means that the record was not written and never will be, so that a refused job does not run.
-	ErrRefused = errors.New("not taken: the store does not accept writes now; submit it again")
+	ErrRefused = errors.New("not taken: the store does not accept it now; hand it in again")
 	// ErrInDoubt means that the store did not reply, so that the record may have been written. Submitting it again is safe.
-	ErrInDoubt = errors.New("in doubt: the store did not reply; submit the same job again, or query its state")
+	ErrInDoubt = errors.New("in doubt: the store gave no answer; hand the same job in again, or ask for its state")
 	// ErrNotFound means that no such job was accepted.
 	ErrUnknown = errors.New("no such job")
 	// ErrUnavailable means that the scheduling entry could not be reached or does not know the answer.
-	ErrUnavailable = errors.New("the scheduling entry is unavailable; try again")
+	ErrUnavailable = errors.New("the scheduling entry can't be asked now; ask again")
 )
 
 // queryTimeout limits a query to the scheduling entry.
--- a/intake/writer.go
+++ b/intake/writer.go
@@ -95,9 +95,9 @@
 	}
 	if i := slices.Index(w.queue, p); i >= 0 {
 		w.queue = slices.Delete(w.queue, i, i+1)
-		return 0, 0, fmt.Errorf("%w: the client stopped waiting before the record was sent", ErrRefused)
+		return 0, 0, fmt.Errorf("%w: the store takes too long", ErrRefused)
 	}
-	return 0, p.attempts, fmt.Errorf("%w: the client stopped waiting after %d append attempts", ErrInDoubt, p.attempts)
+	return 0, p.attempts, fmt.Errorf("%w: the store takes too long", ErrInDoubt)
 }
 
 // enqueue adds the record to the queue, and starts a goroutine that appends the queue if none is running. It returns false
@@ -259,7 +259,7 @@
 	if !p.bounded || p.remaining(now) > 0 {
 		return false
 	}
-	p.done <- writeResult{err: fmt.Errorf("%w: the client's deadline passed before the record was sent", ErrRefused)}
+	p.done <- writeResult{err: fmt.Errorf("%w: its client's time is over", ErrRefused)}
 	return true
 }
 
--- a/serve/dispatcher.go
+++ b/serve/dispatcher.go
@@ -134,7 +134,7 @@
 	sealed  bool
 }
 
-var errSealed = errors.New("the request was abandoned")
+var errSealed = errors.New("the request was given up")
 
 // Write writes p unless the connection is sealed.
 func (c *writeCountConn) Write(p []byte) (int, error) {
--- a/serve/execute.go
+++ b/serve/execute.go
@@ -17,7 +17,7 @@
 // execute runs the request on a target of this data centre. It is called only on the entry that owns the service.
 func (s *Server) execute(ctx context.Context, r *request) (*response, *Problem) {
 	if r.NoWait && !s.hasFreeSlot(r) {
-		return nil, notRun(http.StatusServiceUnavailable, ReasonBusy, "retry later", "service %s has no free slot in %s", r.Service.Name, s.DataCentre)
+		return nil, notRun(http.StatusServiceUnavailable, ReasonBusy, "come back later", "no slot of %s is free in %s", r.Service.Name, s.DataCentre)
 	}
 	if r.Repeatable {
 		return s.dispatchWithRetries(ctx, r)
@@ -69,7 +69,7 @@
 	defer cancel()
 	v, err := s.Book.Claim(ctx, c)
 	if err != nil {
-		p := notRun(http.StatusServiceUnavailable, ReasonNotClaimed, "send it again with the same key and the same not-after", "the key %q could not be claimed: %v", r.Key, err)
+		p := notRun(http.StatusServiceUnavailable, ReasonNotClaimed, "send it again with the same key and the same not-after", "the key could not be claimed: %v", err)
 		p.RetryAfter = time.Second
 		if !r.NotAfter.After(s.now()) {
 			return c, expiredProblem(r)
@@ -87,12 +87,12 @@
 	switch v.Kind {
 	case claim.Open, claim.Won:
 		p := unknown(http.StatusConflict, ReasonKeyInProgress, "ask again with the same key and the same not-after; it is not run a second time",
-			"another copy of the request with the key %q is running, or its result is not known", r.Key)
+			"another copy of the request with the key %q was claimed and its end is not known", r.Key)
 		p.RetryAfter = time.Second
 		return p
 	case claim.Complete:
-		p := unknown(http.StatusConflict, ReasonRanBefore, "nothing needs to be done; the response was sent to the first copy",
-			"the request with the key %q has run and was answered with status %d", r.Key, v.Status)
+		p := unknown(http.StatusConflict, ReasonRanBefore, "nothing is to be done; the first answer went to the first copy",
+			"the request with the key %q ran and was answered with status %d", r.Key, v.Status)
 		p.FirstStatus = v.Status
 		return p
 	case claim.Conflict:
@@ -120,8 +120,8 @@
 // expiredProblem returns the problem for a request whose not-after has passed and whose key is not known. The outcome is
 // unknown, because expired keys are removed from the claims log and an earlier copy may have run.
 func expiredProblem(r *request) *Problem {
-	return unknown(http.StatusGone, ReasonNotAfterPassed, "check the service's own records before sending it as a new request with a new key",
-		"not-after %s has passed; this copy did not run, and no record is kept of an earlier one", r.NotAfter.UTC().Format(time.RFC3339))
+	return unknown(http.StatusGone, ReasonNotAfterPassed, "look at the service's own records before you send it as a new request with a new key",
+		"not-after %s has passed; this copy did not run, and an earlier one is no longer remembered", r.NotAfter.UTC().Format(time.RFC3339))
 }
 
 // dispatchWithRetries dispatches the request to one target after another until one responds. It stops early when a request
@@ -179,13 +179,13 @@
 	if !errors.As(err, &refused) {
 		return withEarlierAttempt(notRun(http.StatusServiceUnavailable, ReasonNoTarget, "report this as a bug", "%v", err), mayHaveRun)
 	}
-	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "retry later", "service %s: %v", r.Service.Name, refused)
+	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "come back later", "service %s: %v", r.Service.Name, refused)
 	p.RetryAfter = max(refused.RetryAfter, time.Second)
 	switch refused.Kind {
 	case route.KindFull:
-		p.Reason, p.Status, p.Remedy = ReasonQueueFull, http.StatusTooManyRequests, "retry after the time in Retry-After"
+		p.Reason, p.Status, p.Remedy = ReasonQueueFull, http.StatusTooManyRequests, "come back after the time in Retry-After"
 	case route.KindDeadline:
-		p.Reason, p.Remedy = ReasonDeadline, "retry after the time in Retry-After, or allow more time"
+		p.Reason, p.Remedy = ReasonDeadline, "come back after the time in Retry-After or allow more time"
 	case route.KindMoved:
 		p.Reason = ReasonNotOwner
 	case route.KindGone:
@@ -204,7 +204,7 @@
 	if !r.Repeatable && !r.NotAfter.After(s.now()) {
 		cancel()
 		lease.Done(route.ResultNeutral)
-		return nil, notRun(http.StatusGone, ReasonNotAfterPassed, "send it as a new request with a new key", "not-after %s passed while the request waited for a slot", r.NotAfter.UTC().Format(time.RFC3339))
+		return nil, notRun(http.StatusGone, ReasonNotAfterPassed, "send it as a new request with a new key", "not-after passed while it waited")
 	}
 	raw, err := s.Targets.send(ctx, lease.Target, r)
 	s.reportStep(StepDispatch, true)
@@ -216,7 +216,7 @@
 		_ = raw.Body.Close() // the body is not used
 		cancel()
 		lease.Done(route.ResultRefused)
-		p := notRun(http.StatusServiceUnavailable, ReasonTargetRefused, "retry later", "target %s refused the request", lease.Target.Instance)
+		p := notRun(http.StatusServiceUnavailable, ReasonTargetRefused, "come back later", "target %s refused the request", lease.Target.Instance)
 		p.RetryAfter = time.Second
 		return nil, p
 	}
@@ -278,5 +278,5 @@
 	if !r.Repeatable {
 		remedy = "ask again with the same key; it is not run a second time"
 	}
-	return unknown(http.StatusBadGateway, ReasonTargetFailed, remedy, "target %s did not send a complete response: %v", lease.Target.Instance, err)
+	return unknown(http.StatusBadGateway, ReasonTargetFailed, remedy, "target %s did not give a whole answer: %v", lease.Target.Instance, err)
 }
--- a/serve/handler.go
+++ b/serve/handler.go
@@ -31,7 +31,7 @@
 	c.Router(restful.CurlyRouter{})
 	c.DoNotRecover(true) // net/http recovers, and must see http.ErrAbortHandler
 	c.ServiceErrorHandler(func(e restful.ServiceError, _ *restful.Request, w *restful.Response) {
-		WriteProblem(w, notRun(e.Code, ReasonBadRequest, "see docs/PROTOCOLS.md", "%s", e.Message))
+		WriteProblem(w, notRun(e.Code, ReasonBadRequest, "look at docs/PROTOCOLS.md", "%s", e.Message))
 	})
 	ws := new(restful.WebService).Path("/v1").Consumes("*/*").Produces("*/*")
 	for _, m := range serviceMethods {
@@ -63,7 +63,7 @@
 	start := s.now()
 	v := s.View()
 	if v == nil {
-		WriteProblem(w, notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "entry %s has not loaded its tables yet", s.Self))
+		WriteProblem(w, notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "this entry has no tables yet"))
 		return
 	}
 	team := v.authenticate(r)
@@ -101,7 +101,7 @@
 }
 
 func unauthorized() *Problem {
-	return notRun(http.StatusUnauthorized, ReasonUnauthorized, "send the team's token as 'Authorization: Bearer TOKEN'", "the token is missing or unknown")
+	return notRun(http.StatusUnauthorized, ReasonUnauthorized, "send the team's token as 'Authorization: Bearer TOKEN'", "the token is missing or not known")
 }
 
 // servicesPath is the prefix before the service's name in a request's path.
--- a/serve/jobs.go
+++ b/serve/jobs.go
@@ -16,7 +16,7 @@
 
 // ErrUnknownResult means that a record may or may not have been applied to the tables. Repeating the call with the same ID is
 // safe.
-var ErrUnknownResult = errors.New("the log did not confirm the record in time; repeat the request with the same id")
+var ErrUnknownResult = errors.New("the log gave no answer in time; ask again with the same id")
 
 // Jobs connects the jobs interface to the control goroutine. Its functions return a *fleet.Refusal, ErrUnknownResult, or
 // another error when nothing was written.
@@ -41,7 +41,7 @@
 func (s *Server) jobTeam(r *restful.Request, w *restful.Response) (string, bool) {
 	v := s.View()
 	if v == nil {
-		WriteProblem(w.ResponseWriter, notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "entry %s has not loaded its tables yet", s.Self))
+		WriteProblem(w.ResponseWriter, notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "this entry has no tables yet"))
 		return "", false
 	}
 	team := v.authenticate(r.Request)
@@ -61,7 +61,7 @@
 	dec := json.NewDecoder(http.MaxBytesReader(w.ResponseWriter, r.Request.Body, maxJobBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&spec); err != nil {
-		WriteProblem(w.ResponseWriter, notRun(http.StatusBadRequest, ReasonBadRequest, "see docs/PROTOCOLS.md", "the job can't be decoded: %v", err))
+		WriteProblem(w.ResponseWriter, notRun(http.StatusBadRequest, ReasonBadRequest, "look at docs/PROTOCOLS.md", "the job can't be read: %v", err))
 		return
 	}
 	if err := s.Jobs.Submit(r.Request.Context(), team, spec); err != nil {
@@ -92,7 +92,7 @@
 func (s *Server) writeJob(w *restful.Response, status int, team, id string) {
 	j, ok := s.Jobs.Get(team, id)
 	if !ok {
-		WriteProblem(w.ResponseWriter, notRun(http.StatusNotFound, ReasonBadRequest, "submit the job first; ended jobs are removed after some time", "job %q is not known", id))
+		WriteProblem(w.ResponseWriter, notRun(http.StatusNotFound, ReasonBadRequest, "submit the job first; ended jobs are forgotten after a while", "job %q is not known", id))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -115,8 +115,8 @@
 	case errors.As(err, &refusal):
 		return notRun(http.StatusConflict, Reason(refusal.Reason), refusal.Remedy, "%s", refusal.Detail)
 	case errors.Is(err, ErrUnknownResult):
-		return unknown(http.StatusGatewayTimeout, ReasonNotClaimed, "repeat the request with the same id", "%v", err)
+		return unknown(http.StatusGatewayTimeout, ReasonNotClaimed, "ask again with the same id", "%v", err)
 	}
 	detail, _, _ := strings.Cut(err.Error(), "\n")
-	return notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "%s", detail)
+	return notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "%s", detail)
 }
--- a/serve/problem.go
+++ b/serve/problem.go
@@ -93,7 +93,7 @@
 		FirstStatus int     `json:"first_status,omitempty"`
 	}{"https://rackstep.dev/problems/" + string(p.Reason), http.StatusText(p.Status), p.Status, p.Detail, p.Outcome, p.Reason, p.Remedy, p.FirstStatus})
 	if err != nil {
-		http.Error(w, "problem details could not be encoded: "+err.Error(), http.StatusInternalServerError)
+		http.Error(w, "problem could not be written", http.StatusInternalServerError)
 		return
 	}
 	h := w.Header()
--- a/serve/relay.go
+++ b/serve/relay.go
@@ -24,7 +24,7 @@
 	stream, err := s.Mesh.Open(ctx, entry, &peerpb.Open{Kind: &peerpb.Open_Relay{Relay: s.relayRequest(r, direct)}})
 	if errors.Is(err, peer.ErrNoLink) {
 		cancel()
-		p := notRun(http.StatusServiceUnavailable, ReasonDataCentreUnreachable, "retry later", "entry %s in data centre %s can't be reached", entry, dataCentre)
+		p := notRun(http.StatusServiceUnavailable, ReasonDataCentreUnreachable, "come back later", "entry %s can't be reached", entry)
 		p.RetryAfter = time.Second
 		return nil, p
 	}
@@ -66,7 +66,7 @@
 	if !r.Repeatable {
 		remedy = "ask again with the same key; it is not run a second time"
 	}
-	return unknown(http.StatusBadGateway, ReasonRelayFailed, remedy, "the response of entry %s was lost: %v", entry, err)
+	return unknown(http.StatusBadGateway, ReasonRelayFailed, remedy, "the answer from entry %s was lost: %v", entry, err)
 }
 
 func (s *Server) relayRequest(r *request, direct bool) *peerpb.RelayRequest {
@@ -122,11 +122,11 @@
 func (s *Server) runRelayed(ctx context.Context, m *peerpb.RelayRequest) (*response, *Problem) {
 	v := s.View()
 	if v == nil {
-		return nil, notRun(http.StatusServiceUnavailable, ReasonNotReady, "retry later", "entry %s has not loaded its tables yet", s.Self)
+		return nil, notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "entry %s has no tables yet", s.Self)
 	}
 	svc := v.Services[m.Service]
 	if svc == nil {
-		return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "retry later", "entry %s does not know service %q", s.Self, m.Service)
+		return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "come back later", "entry %s does not know service %q", s.Self, m.Service)
 	}
 	r := &request{
 		ID: m.Id, Service: svc, Team: m.Team, Share: int(m.Share), Method: m.Method, Path: m.Path, Header: headersFromProto(m.Headers),
@@ -134,10 +134,10 @@
 		Deadline: s.now().Add(time.Duration(m.RemainingUs) * time.Microsecond), DataCentre: m.DataCentre, NoWait: m.NoWait,
 	}
 	if !slices.Contains(v.Allowed(svc, r.DataCentre), s.DataCentre) {
-		return nil, notRun(http.StatusForbidden, ReasonResidency, "retry later", "service %q may not run in %s", svc.Name, s.DataCentre)
+		return nil, notRun(http.StatusForbidden, ReasonResidency, "come back later", "service %q may not run in %s", svc.Name, s.DataCentre)
 	}
 	if m.Direct && svc.Owner != s.Self {
-		return nil, notRun(http.StatusServiceUnavailable, ReasonNotOwner, "retry later", "entry %s does not own service %s", s.Self, svc.Name)
+		return nil, notRun(http.StatusServiceUnavailable, ReasonNotOwner, "come back later", "entry %s does not run the gate of %s", s.Self, svc.Name)
 	}
 	return s.runLocally(ctx, r, m.Direct)
 }
--- a/serve/request.go
+++ b/serve/request.go
@@ -55,7 +55,7 @@
 func (s *Server) admit(v *View, team *org.Organisation, service, path string, r *http.Request) (*request, *Problem) {
 	svc := v.Services[service]
 	if svc == nil {
-		return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "check the services of the configuration", "service %q is not known", service)
+		return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "look at the services of the configuration", "service %q is not known", service)
 	}
 	req := &request{
 		ID: s.requestID(r), Service: svc, Team: team.Name, Share: int(team.Weight),
@@ -86,7 +86,7 @@
 	case "urgent":
 		req.Urgent = true
 	default:
-		return badHeader(HeaderPriority, v, "set it to urgent or ordinary, or omit it")
+		return badHeader(HeaderPriority, v, "write urgent or ordinary, or leave it out")
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	if v := r.Header.Get(HeaderTimeout); v != "" {
 		d, err := time.ParseDuration(v)
 		if err != nil || d <= 0 {
-			return badHeader(HeaderTimeout, v, "set it to a positive duration such as 500ms")
+			return badHeader(HeaderTimeout, v, "write a positive duration, as in 500ms")
 		}
 		limit = min(limit, d)
 	}
@@ -111,7 +111,7 @@
 	return func(req *request, r *http.Request) *Problem {
 		req.DataCentre = r.Header.Get(HeaderDataCentre)
 		if len(v.Allowed(req.Service, req.DataCentre)) == 0 {
-			return notRun(http.StatusForbidden, ReasonResidency, "name one of the service's data centres, or omit the header",
+			return notRun(http.StatusForbidden, ReasonResidency, "name one of the service's data centres or leave the header out",
 				"service %q may not run in data centre %q", req.Service.Name, req.DataCentre)
 		}
 		return nil
@@ -126,19 +126,19 @@
 		req.Repeatable = true
 	case "no":
 	default:
-		return badHeader(HeaderRepeatable, v, "set it to yes or no, or omit it")
+		return badHeader(HeaderRepeatable, v, "write yes or no, or leave it out")
 	}
 	if req.Repeatable {
 		return nil
 	}
 	req.Key = r.Header.Get(HeaderKey)
 	if req.Key == "" || len(req.Key) > maxKey || !printable(req.Key) {
-		return badHeader(HeaderKey, req.Key, "set it to 1 to 128 printable characters without spaces; a request that is not repeatable needs a key")
+		return badHeader(HeaderKey, req.Key, "a request that is not repeatable needs a key of 1 to 128 printable characters without spaces")
 	}
 	at, err := http.ParseTime(r.Header.Get(HeaderNotAfter))
 	if err != nil {
 		if at, err = time.Parse(time.RFC3339Nano, r.Header.Get(HeaderNotAfter)); err != nil {
-			return badHeader(HeaderNotAfter, r.Header.Get(HeaderNotAfter), "set it to the time after which the request must not run, in the format of RFC 3339, and to the same time in every repeat")
+			return badHeader(HeaderNotAfter, r.Header.Get(HeaderNotAfter), "write the time after which it must not run as in RFC 3339, and the same time in every repeat")
 		}
 	}
 	req.NotAfter = at
--- a/serve/response.go
+++ b/serve/response.go
@@ -24,7 +24,7 @@
 const maxBufferedBody = 64 << 10
 
 // errTruncated means that a response ended before its body was complete.
-var errTruncated = errors.New("the target's response was truncated")
+var errTruncated = errors.New("the target's answer ended early")
 
 // readResponse reads the first part of the body. It returns an error when a body of at most maxBufferedBody is truncated.
 func readResponse(resp *http.Response) (*response, error) {
--- a/serve/run.go
+++ b/serve/run.go
@@ -60,7 +60,7 @@
 	if last != nil {
 		return nil, last
 	}
-	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "retry later", "service %q has no available target in a data centre where the request may run", r.Service.Name)
+	p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "come back later", "service %q has no available target where the request may run", r.Service.Name)
 	p.RetryAfter = time.Second
 	return nil, p
 }
@@ -72,7 +72,7 @@
 func (s *Server) runOnFreeSlot(ctx context.Context, v *View, r *request, candidates []string) (*response, *Problem) {
 	r.NoWait = true
 	defer func() { r.NoWait = false }()
-	busy := notRun(http.StatusServiceUnavailable, ReasonBusy, "retry later", "service %s has no free slot", r.Service.Name)
+	busy := notRun(http.StatusServiceUnavailable, ReasonBusy, "come back later", "no slot of %s is free", r.Service.Name)
 	nearby := v.nearbyCount(candidates)
 	for i, group := range [...][]string{candidates[:1], candidates[1:nearby], candidates[nearby:]} {
 		if i > 0 {
@@ -122,7 +122,7 @@
 	s.freeSlots.consume(r.Service.Name, dc)
 	entry := route.Owner(r.Service.Name, v.Entries[dc])
 	if entry == "" {
-		p := notRun(http.StatusServiceUnavailable, ReasonDataCentreUnreachable, "retry later", "no entry of data centre %s can be reached", dc)
+		p := notRun(http.StatusServiceUnavailable, ReasonDataCentreUnreachable, "come back later", "no entry of data centre %s can be reached", dc)
 		p.RetryAfter = time.Second
 		return nil, p
 	}
@@ -139,7 +139,7 @@
 		v := s.View()
 		svc := v.Services[r.Service.Name]
 		if svc == nil {
-			return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "check the services of the configuration", "service %q was removed from the configuration", r.Service.Name)
+			return nil, notRun(http.StatusNotFound, ReasonNoSuchService, "look at the services of the configuration", "service %q has gone", r.Service.Name)
 		}
 		r.Service = svc
 		resp, p := s.tryLocally(ctx, r, direct)
@@ -156,13 +156,13 @@
 	svc := r.Service
 	switch {
 	case svc.Owner == "":
-		p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "retry later", "service %q has no available target in %s", svc.Name, s.DataCentre)
+		p := notRun(http.StatusServiceUnavailable, ReasonNoTarget, "come back later", "service %q has no available target in %s", svc.Name, s.DataCentre)
 		p.RetryAfter = time.Second
 		return nil, p
 	case svc.Owner == s.Self:
 		return s.execute(ctx, r)
 	case direct:
-		return nil, notRun(http.StatusServiceUnavailable, ReasonNotOwner, "retry later", "entry %s does not own service %s", s.Self, svc.Name)
+		return nil, notRun(http.StatusServiceUnavailable, ReasonNotOwner, "come back later", "entry %s does not run the gate of %s", s.Self, svc.Name)
 	}
 	return s.relay(ctx, s.DataCentre, svc.Owner, r, true)
 }
