--- a/serve/handler.go
+++ b/serve/handler.go
@@ -73,7 +73,7 @@
 	}
 	path, ok := targetPath(r)
 	if !ok {
-		WriteProblem(w, notRun(http.StatusNotFound, ReasonBadRequest, "start the path with "+servicesPath+"SERVICE/", "path %q does not name a service", r.URL.Path))
+		WriteProblem(w, notRun(http.StatusNotFound, ReasonBadRequest, "begin the path with "+servicesPath+"SERVICE/", "path %q names no service", r.URL.Path))
 		return
 	}
 	s.reportStep(StepAdmission, false)
