--- a/control/view.go
+++ b/control/view.go
@@ -41,7 +41,7 @@
 	}
 	v := c.view(now)
 	c.Server.SetView(v)
-	c.Book.SetEntries(c.tables.Entries.Len())
+	c.Registry.SetEntries(c.tables.Entries.Len())
 	c.viewed, c.viewedWith = true, now
 	if old == nil || old.Version != v.Version {
 		c.Events.Emit(event.ConfigurationInForce, event.Subject{}, versionText(v.Version))
@@ -98,7 +98,7 @@
 	for _, id := range sortedKeys(held) {
 		m.held += id + "=" + itoa(held[id]) + " "
 	}
-	m.far = strings.Join(c.Mesh.Up(), " ")
+	m.far = strings.Join(c.Mesh.ConnectedPeers(), " ")
 	return m
 }
 
@@ -114,7 +114,7 @@
 	if v.Organisations, err = t.Configuration.Organisations(); err != nil {
 		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error()) // nobody is known until it is mended
 	}
-	for _, id := range c.Mesh.Up() {
+	for _, id := range c.Mesh.ConnectedPeers() {
 		if e := c.members.byEntry[id]; e != nil && !e.status.Stopping {
 			v.Entries[e.status.DataCentre] = append(v.Entries[e.status.DataCentre], id)
 		}
--- a/entry/node.go
+++ b/entry/node.go
@@ -171,12 +171,12 @@
 	store := platform.NewStore(s, n.Dial)
 	store.Relay, store.Traffic = n.relay, &n.traffic
 	n.store = store
-	workers := &platform.Workers{Dial: n.Dial, Traffic: &n.traffic, Connections: maxWorkerConnections(s)}
+	workers := &platform.Workers{Dial: n.Dial, Traffic: &n.traffic, MaxConnections: maxWorkerConnections(s)}
 	machines := platform.NewMachines(s, n.Dial)
 	machines.Traffic = &n.traffic
 	intakes := make([]feed.Topic, max(1, min(maxIntakePartitions, s.Store.Partitions)))
 	for i := range intakes {
-		intakes[i] = store.Own(intakeTopic, i)
+		intakes[i] = store.ProductTopic(intakeTopic, i)
 	}
 	n.mesh = &peer.Mesh{
 		Self: peer.Identity{Entry: peers.Addr().String(), DataCentre: s.DataCentre, Boot: n.boot}, Secret: []byte(linkSecret),
@@ -187,12 +187,12 @@
 	}
 	n.scheduler = &pool.Scheduler{
 		Clock: n.Clock,
-		Entry: s.Entry, Intake: intakes, State: store.Own(stateTopic, 0), Workers: store.Workers(),
+		Entry: s.Entry, Intake: intakes, State: store.ProductTopic(stateTopic, 0), Workers: store.WorkersTopic(),
 		ParseWorker: platform.ParseWorker, Calls: workers.Calls(), Machines: machines.Calls(),
-		PutWave: platform.PutWave(store.Status()), Events: n.Events,
-		BatchMost:  s.Store.MaxCallBytes / 2, // leaves a wide margin to the store's limit for a call
-		RecordMost: s.Store.MaxRecordBytes,
-		Processor:  s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesPerMegabit,
+		PutWave: platform.WaveStatusWriter(store.StatusTopic()), Events: n.Events,
+		MaxBatchBytes:  s.Store.MaxCallBytes / 2, // leaves a wide margin to the store's limit for a call
+		MaxRecordBytes: s.Store.MaxRecordBytes,
+		Processor:      s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesPerMegabit,
 	}
 	n.scheduler.SetBounds(boundsOf(s))
 	if n.metrics.scope != nil {
@@ -203,29 +203,29 @@
 	}
 	n.elector = &lead.Elector{
 		Clock: n.Clock,
-		Entry: s.Entry, Address: peers.Addr().String(), Boot: n.boot, Topic: store.Own(leadTopic, 0), Events: n.Events,
-		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, Seen: n.followLeader,
-		May: func() bool { return n.ingress.Ready() },
+		Entry: s.Entry, Address: peers.Addr().String(), Boot: n.boot, Topic: store.ProductTopic(leadTopic, 0), Events: n.Events,
+		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, OnRecord: n.followLeader,
+		Eligible: func() bool { return n.ingress.Ready() },
 	}
-	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.Lost, n.elector.HandOver
-	n.scheduler.SetLoose, n.scheduler.LooseKept, n.scheduler.SetEarlier = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
+	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.StepDown, n.elector.HandOver
+	n.scheduler.AnnounceUnstoredOrders, n.scheduler.UnstoredOrdersAnnounced, n.scheduler.PublishEarlierLeaders = n.elector.SetUnstored, n.elector.UnstoredPublished, n.elector.SetPredecessors
 	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[intakePartition(s.Entry, len(intakes))]}, Ask: n.queryJob, Events: n.Events}}
-	n.follower = &platform.Follower{Topic: store.Operator(), Events: n.Events, Clock: n.Clock, Within: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
+	n.follower = &platform.Follower{Topic: store.OperatorTopic(), Events: n.Events, Clock: n.Clock, ApplyDeadline: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
 		n.ingress.SetConfig(c)
 		n.scheduler.SetOrganisations(c.Organisations)
 		n.scheduler.SetCatalog(&c.Catalog)
 	}}
-	n.ingress.Age, n.ingress.Keyed = n.follower.Age, s.Keyed()
-	n.ingress.SetPatience(patienceOf(s.Bounds))
+	n.ingress.ConfigAge, n.ingress.RequireKeys = n.follower.Age, s.KeysRequired()
+	n.ingress.SetStalenessLimits(patienceOf(s.Bounds))
 }
 
 // patienceOf returns how long an entry that can't read the configuration relies on the one that it has.
-func patienceOf(b platform.Bounds) org.Patience {
+func patienceOf(b platform.Bounds) org.StalenessLimits {
 	apply := platform.Millis(b.ApplyMillis)
 	if apply == 0 {
-		return org.Patience{} // the settings contain no limit
+		return org.StalenessLimits{} // the settings contain no limit
 	}
-	return org.Patience{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
+	return org.StalenessLimits{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
 }
 
 // onResume reports that the machine was suspended and has resumed. What the entry learned before the suspension is outdated and
@@ -259,7 +259,7 @@
 
 // serveReadiness answers the platform's readiness checks.
 func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	if !n.ingress.Ready() || n.elector.Silence() > maxStoreSilence {
+	if !n.ingress.Ready() || n.elector.UnansweredFor() > maxStoreSilence {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/entry/peercall.go
+++ b/entry/peercall.go
@@ -58,18 +58,18 @@
 }
 
 // queryJob queries the scheduling entry, which may be this one, about a job or a queue.
-func (n *Node) queryJob(ctx context.Context, q job.Question) (job.Answer, error) {
+func (n *Node) queryJob(ctx context.Context, q job.Query) (job.Answer, error) {
 	leader := n.elector.Latest().Address
 	if leader == n.elector.Address {
 		return n.scheduler.Ask(ctx, q)
 	}
 	var a peerpb.JobAnswer
 	if err := n.callPeer(ctx, leader, &peerpb.Open{Kind: &peerpb.Open_Job{Job: &peerpb.JobQuery{Id: q.ID, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open}}}, &a); err != nil {
-		n.elector.Look()
+		n.elector.ReadNow()
 		return job.Answer{}, err
 	}
 	if !a.Known && !a.Certain {
-		n.elector.Look()
+		n.elector.ReadNow()
 		return job.Answer{}, fmt.Errorf("ask %s: %w", leader, pool.ErrNotLeading)
 	}
 	return job.Answer{Known: a.Known, Certain: a.Certain, State: job.State(a.State), Pending: int(a.Pending), Organisation: a.Organisation}, nil
@@ -77,7 +77,7 @@
 
 // serveStream handles a stream that another entry has opened.
 func (n *Node) serveStream(ctx context.Context, from peer.Identity, open *peerpb.Open, s *peer.Stream) {
-	if n.peers.add(from.Entry, n.mesh.Up) {
+	if n.peers.add(from.Entry, n.mesh.ConnectedPeers) {
 		n.linkPeers()
 	}
 	var reply proto.Message
@@ -96,7 +96,7 @@
 
 // handleJobQuery answers another entry's query with what this entry's scheduler knows.
 func (n *Node) handleJobQuery(ctx context.Context, q *peerpb.JobQuery) *peerpb.JobAnswer {
-	a, err := n.scheduler.Ask(ctx, job.Question{ID: q.Id, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open})
+	a, err := n.scheduler.Ask(ctx, job.Query{ID: q.Id, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open})
 	if err != nil {
 		return &peerpb.JobAnswer{} // neither known nor certain, which tells the other entry that this one does not schedule
 	}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -145,17 +145,17 @@
 
 // relay makes a call to the store through a peer. It tries the next peer when one has not made the call, or when the store may have
 // turned away only that one; the error is platform.ErrRelayUnsent or platform.ErrRelayLost.
-func (n *Node) relay(ctx context.Context, c platform.StoreCall) (platform.StoreReply, error) {
+func (n *Node) relay(ctx context.Context, c platform.StoreRequest) (platform.StoreResponse, error) {
 	remaining := defaultRelayTimeout
 	if d, ok := ctx.Deadline(); ok {
 		remaining = time.Until(d) - relayMargin
 	}
 	open := &peerpb.Open{Kind: &peerpb.Open_Store{Store: &peerpb.StoreCall{Method: c.Method, Uri: c.URI, Body: c.Body, RemainingMs: remaining.Milliseconds()}}}
-	up := n.mesh.Up()
+	up := n.mesh.ConnectedPeers()
 	addresses := n.peerAddresses()
 	n.peers.sortByHealth(addresses)
 	attempts := 0
-	last := platform.StoreReply{}
+	last := platform.StoreResponse{}
 	for _, address := range addresses {
 		if !slices.Contains(up, address) || attempts == maxRelayAttempts {
 			continue
@@ -166,27 +166,27 @@
 		switch {
 		case errors.Is(err, errNoReply), err == nil && a.Status == 0 && !a.Unsent:
 			n.peers.markUnresponsive(address)
-			return last, platform.ErrRelayLost
-		case err == nil && a.Status != 0 && !platform.TurnsAway(int(a.Status)):
+			return last, platform.ErrRelayNoResponse
+		case err == nil && a.Status != 0 && !platform.RejectsEntry(int(a.Status)):
 			n.peers.markResponsive(address)
-			return platform.StoreReply{Status: int(a.Status), Body: a.Body}, nil
+			return platform.StoreResponse{Status: int(a.Status), Body: a.Body}, nil
 		case err == nil && a.Status != 0:
-			last = platform.StoreReply{Status: int(a.Status), Body: a.Body}
+			last = platform.StoreResponse{Status: int(a.Status), Body: a.Body}
 		}
 	}
 	if last.Status != 0 {
 		return last, nil
 	}
-	return last, platform.ErrRelayUnsent
+	return last, platform.ErrRelayNotSent
 }
 
 // handleStoreCall makes a call to the store on behalf of another entry.
 func (n *Node) handleStoreCall(ctx context.Context, c *peerpb.StoreCall) *peerpb.StoreAnswer {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.RemainingMs)*time.Millisecond)
 	defer cancel()
-	reply, err := n.store.Direct(ctx, platform.StoreCall{Method: c.Method, URI: c.Uri, Body: c.Body})
+	reply, err := n.store.ServeRelayed(ctx, platform.StoreRequest{Method: c.Method, URI: c.Uri, Body: c.Body})
 	if err != nil {
-		return &peerpb.StoreAnswer{Unsent: errors.Is(err, platform.ErrRelayUnsent)}
+		return &peerpb.StoreAnswer{Unsent: errors.Is(err, platform.ErrRelayNotSent)}
 	}
 	return &peerpb.StoreAnswer{Status: int32(reply.Status), Body: reply.Body}
 }
--- a/entry/traffic.go
+++ b/entry/traffic.go
@@ -35,7 +35,7 @@
 
 // reportTrafficOnce updates the metrics, and emits the event link-used when this entry is the leader or uses much of the link.
 func (n *Node) reportTrafficOnce() {
-	uses := n.traffic.Take()
+	uses := n.traffic.Reset()
 	share := n.linkShare(float64(uses.Bytes()) / trafficInterval.Seconds())
 	if n.metrics.scope != nil {
 		for kind, u := range uses {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -32,7 +32,7 @@
 type Intake struct {
 	Writer *Writer
 	// Query queries the scheduling entry about a job or a queue.
-	Ask    func(ctx context.Context, q job.Question) (job.Answer, error)
+	Ask    func(ctx context.Context, q job.Query) (job.Answer, error)
 	Events *event.Ring
 }
 
@@ -48,7 +48,7 @@
 		return err
 	}
 	start := time.Now()
-	offset, attempts, err := i.Writer.Write(ctx, feed.KeyedRecord{Key: s.Owner().HandedInKey(), Value: value})
+	offset, attempts, err := i.Writer.Write(ctx, feed.KeyedRecord{Key: s.QualifiedID().SubmissionKey(), Value: value})
 	i.emitResult(s.ID, fmt.Sprintf("submit queue=%s organisation=%q", s.Queue, s.Organisation), offset, attempts, time.Since(start), err)
 	return err
 }
@@ -57,7 +57,7 @@
 //
 // The record's key contains the organisation that owns the job. If the owner can't be determined, it contains the organisation
 // of the caller, so that a job of another organisation can't be cancelled.
-func (i *Intake) Cancel(ctx context.Context, q job.Question) error {
+func (i *Intake) Cancel(ctx context.Context, q job.Query) error {
 	if !job.ValidID(q.ID) {
 		return ErrUnknown // in a record's key, such an ID could name another organisation's job
 	}
@@ -72,7 +72,7 @@
 		owner = a.Organisation
 	}
 	start := time.Now()
-	offset, attempts, err := i.Writer.Write(ctx, feed.KeyedRecord{Key: job.OwnedBy(owner, q.ID).CancelKey(), Value: []byte{1}})
+	offset, attempts, err := i.Writer.Write(ctx, feed.KeyedRecord{Key: job.Qualify(owner, q.ID).CancelKey(), Value: []byte{1}})
 	i.emitResult(q.ID, fmt.Sprintf("cancel organisation=%q", owner), offset, attempts, time.Since(start), err)
 	return err
 }
@@ -94,7 +94,7 @@
 }
 
 // State returns a job's state; the error is ErrNotFound or ErrUnavailable.
-func (i *Intake) State(ctx context.Context, q job.Question) (job.State, error) {
+func (i *Intake) State(ctx context.Context, q job.Query) (job.State, error) {
 	if !job.ValidID(q.ID) {
 		return 0, ErrUnknown
 	}
@@ -112,17 +112,17 @@
 
 // Pending returns how many of the queue's accepted jobs have not started; the error is ErrUnavailable.
 func (i *Intake) Pending(ctx context.Context, queue string) (int, error) {
-	a, err := i.query(ctx, job.Question{Queue: queue})
+	a, err := i.query(ctx, job.Query{Queue: queue})
 	return a.Pending, err
 }
 
-func (i *Intake) query(ctx context.Context, q job.Question) (job.Answer, error) {
+func (i *Intake) query(ctx context.Context, q job.Query) (job.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	a, err := i.Ask(ctx, q)
 	if err != nil {
 		err = fmt.Errorf("%w: %w", ErrUnavailable, err)
-		i.Events.Emit(event.JobAnswered, event.Subject{Job: q.ID}, err.Error())
+		i.Events.Emit(event.JobUnanswered, event.Subject{Job: q.ID}, err.Error())
 	}
 	return a, err
 }
--- a/route/errors.go
+++ b/route/errors.go
@@ -12,11 +12,11 @@
 
 // Kinds of a RefusedError.
 const (
-	KindFull     Kind = "queue-full"
-	KindNoTarget Kind = "no-target"
-	KindDeadline Kind = "deadline"
-	KindGone     Kind = "cancelled"
-	KindMoved    Kind = "moved"
+	KindFull      Kind = "queue-full"
+	KindNoTarget  Kind = "no-target"
+	KindDeadline  Kind = "deadline"
+	KindCancelled Kind = "cancelled"
+	KindMoved     Kind = "moved"
 )
 
 // RefusedError says that a request was not dispatched.
--- a/serve/auth.go
+++ b/serve/auth.go
@@ -16,5 +16,5 @@
 
 // authenticate returns the team whose token the request carries, or nil when the token is missing or unknown.
 func (v *View) authenticate(r *http.Request) *org.Organisation {
-	return v.Organisations.Who(org.KeyOf(r.Header.Get("Authorization")))
+	return v.Organisations.ByKey(org.KeyOf(r.Header.Get("Authorization")))
 }
--- a/serve/execute.go
+++ b/serve/execute.go
@@ -55,7 +55,7 @@
 // for the routing of later requests.
 func (s *Server) hasFreeSlot(r *request) bool {
 	g := s.gate(r.Service.Name)
-	if g.Free(s.slotRequest(r, nil)) {
+	if g.HasFreeSlot(s.slotRequest(r, nil)) {
 		return true
 	}
 	s.freeSlots.report(r.Service.Name, s.DataCentre, g.Spare(), s.now())
@@ -106,7 +106,7 @@
 	if r.Repeatable {
 		return nil
 	}
-	v, ok := s.Book.Look(s.newClaim(r, ""))
+	v, ok := s.Book.Lookup(s.newClaim(r, ""))
 	if !ok {
 		return nil
 	}
@@ -128,7 +128,7 @@
 // that is not repeatable may have run, at the deadline, and when the retry budget is exhausted.
 func (s *Server) dispatchWithRetries(ctx context.Context, r *request) (*response, *Problem) {
 	g := s.gate(r.Service.Name)
-	g.retries.First()
+	g.retries.Deposit()
 	mayHaveRun := false
 	var avoid []string
 	for {
@@ -140,14 +140,14 @@
 		}
 		resp, p := s.dispatch(ctx, r, lease)
 		if p == nil {
-			if resp.Status < http.StatusInternalServerError || !r.Repeatable || !g.retries.Retry() {
+			if resp.Status < http.StatusInternalServerError || !r.Repeatable || !g.retries.TryWithdraw() {
 				return resp, nil
 			}
 			resp.Finish(false)
 			mayHaveRun = true
 		} else {
 			mayHaveRun = mayHaveRun || p.Outcome == OutcomeUnknown
-			if (mayHaveRun && !r.Repeatable) || ctx.Err() != nil || !g.retries.Retry() {
+			if (mayHaveRun && !r.Repeatable) || ctx.Err() != nil || !g.retries.TryWithdraw() {
 				return nil, withEarlierAttempt(p, mayHaveRun)
 			}
 		}
@@ -188,7 +188,7 @@
 		p.Reason, p.Remedy = ReasonDeadline, "come back after the time in Retry-After or allow more time"
 	case route.KindMoved:
 		p.Reason = ReasonNotOwner
-	case route.KindGone:
+	case route.KindCancelled:
 		p.Reason, p.Status = ReasonDeadline, statusClientClosed
 	}
 	return withEarlierAttempt(p, mayHaveRun)
--- a/serve/run.go
+++ b/serve/run.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	if p.Outcome != OutcomeNotRun {
-		return r.Repeatable && p.Reason == ReasonRelayFailed && s.gate(r.Service.Name).retries.Retry()
+		return r.Repeatable && p.Reason == ReasonRelayFailed && s.gate(r.Service.Name).retries.TryWithdraw()
 	}
 	switch p.Reason {
 	case ReasonBusy, ReasonNoTarget, ReasonQueueFull, ReasonDataCentreUnreachable, ReasonNotOwner, ReasonNotReady, ReasonDeadline, ReasonTargetRefused:
--- a/serve/server.go
+++ b/serve/server.go
@@ -22,7 +22,7 @@
 	// Self is the entry's name, DataCentre its data centre.
 	Self, DataCentre string
 	// Book claims the keys of requests that are not repeatable.
-	Book *claim.Book
+	Book *claim.Registry
 	// Mesh connects to the other entries.
 	Mesh *peer.Mesh
 	// Targets sends requests to targets.
@@ -99,7 +99,7 @@
 func (s *Server) MoveView(v *View) { s.view.Store(v) }
 
 func (s *Server) limits(svc *Service) route.Limits {
-	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Elsewhere: svc.Owner != "" && svc.Owner != s.Self}
+	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Moved: svc.Owner != "" && svc.Owner != s.Self}
 }
 
 // routable returns the targets to which this entry may dispatch requests, which are none unless it owns the service.
@@ -115,7 +115,7 @@
 	g := s.gates[service]
 	if g == nil {
 		g = &gate{}
-		g.Changed = s.emitTargetHealth
+		g.HealthChanged = s.emitTargetHealth
 		s.gates[service] = g
 	}
 	return g
