--- a/serve/jobs.go
+++ b/serve/jobs.go
@@ -14,16 +14,18 @@
 	"rackstep.dev/fleet"
 )
 
-// ErrUnknownResult means that a record may or may not have been folded; ask again with the same ID.
+// ErrUnknownResult means that a record may or may not have been applied to the tables. Repeating the call with the same ID is
+// safe.
 var ErrUnknownResult = errors.New("the log gave no answer in time; ask again with the same id")
 
-// Jobs passes callers' jobs on; its errors are *fleet.Refusal, ErrUnknownResult or one that says nothing was written.
+// Jobs connects the jobs interface to the control goroutine. Its functions return a *fleet.Refusal, ErrUnknownResult, or
+// another error when nothing was written.
 type Jobs struct {
-	// Submit adds the team's job; the same job twice is one job.
+	// Submit adds a job for the team. Submitting the same job again has no effect.
 	Submit func(ctx context.Context, team string, spec fleet.JobSpec) error
-	// Cancel ends the team's job.
+	// Cancel cancels the team's job.
 	Cancel func(ctx context.Context, team, id string) error
-	// Get returns the team's job, or false.
+	// Get returns the team's job, and false when it is not known.
 	Get func(team, id string) (fleet.Job, bool)
 }
 
@@ -35,14 +37,14 @@
 	ws.Route(ws.DELETE("/jobs/{job}").To(s.cancelJob))
 }
 
-// jobTeam returns the caller's team; after false the answer was written.
+// jobTeam returns the name of the caller's team. When it returns false, it has written an error response.
 func (s *Server) jobTeam(r *restful.Request, w *restful.Response) (string, bool) {
 	v := s.View()
 	if v == nil {
 		WriteProblem(w.ResponseWriter, notRun(http.StatusServiceUnavailable, ReasonNotReady, "come back later", "this entry has no tables yet"))
 		return "", false
 	}
-	team := v.team(r.Request)
+	team := v.authenticate(r.Request)
 	if team == nil {
 		WriteProblem(w.ResponseWriter, unauthorized())
 		return "", false
@@ -95,7 +97,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.ResponseWriter.WriteHeader(status)
-	_ = json.NewEncoder(w.ResponseWriter).Encode(struct { // a caller that has gone can't be told
+	_ = json.NewEncoder(w.ResponseWriter).Encode(struct { // an error means that the caller has disconnected
 		ID           string         `json:"id"`
 		State        fleet.JobState `json:"state"`
 		Attempt      int            `json:"attempt"`
@@ -106,7 +108,7 @@
 	}{j.ID, j.State, j.Attempt, j.Instance, j.Moves, j.Checkpointed, j.Note})
 }
 
-// JobProblem returns the answer for an error of Jobs or of an operator's record.
+// JobProblem returns the problem for an error of Jobs or of a record that an operator submitted.
 func JobProblem(err error) *Problem {
 	var refusal *fleet.Refusal
 	switch {
