--- a/admin/server.go
+++ b/admin/server.go
@@ -105,7 +105,7 @@
 		}
 		configured = t.Version > 0
 		for _, o := range t.Configuration.Operators {
-			if serve.SameHash(o.TokenHash, hash) {
+			if serve.EqualTokenHashes(o.TokenHash, hash) {
 				name = o.Name
 			}
 		}
@@ -162,7 +162,7 @@
 		writeError(w, err)
 		return
 	}
-	if !configured && s.BootstrapTokenHash != "" && serve.SameHash(s.BootstrapTokenHash, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
+	if !configured && s.BootstrapTokenHash != "" && serve.EqualTokenHashes(s.BootstrapTokenHash, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
 		name = "bootstrap"
 	}
 	if name == "" {
--- a/control/view.go
+++ b/control/view.go
@@ -55,7 +55,7 @@
 	}
 	v := *old
 	v.Offset = c.tables.Offset
-	c.Server.MoveView(&v)
+	c.Server.AdvanceView(&v)
 }
 
 // linkTimeout is how long a new entry waits for links to all data centres before it serves callers without them.
@@ -76,7 +76,7 @@
 		}
 	}
 	c.ready = true
-	c.Server.SetLinked()
+	c.Server.SetLinkAttempted()
 	c.Events.Emit(event.EntryReady, event.Subject{}, "")
 }
 
@@ -109,7 +109,7 @@
 		Services: make(map[string]*serve.Service, len(t.Configuration.Services)),
 		Entries:  make(map[string][]string),
 	}
-	v.Near, v.Region = c.dataCentreOrder()
+	v.ByDistance, v.RegionSize = c.dataCentreOrder()
 	var err error
 	if v.Organisations, err = t.Configuration.Organisations(); err != nil {
 		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error()) // no caller is authorised until the configuration is corrected
@@ -139,7 +139,7 @@
 			out.Targets = append(out.Targets, route.Target{Instance: id, Address: in.Address, Generation: in.Generation, Held: held[id]})
 		}
 	}
-	out.Serving = sortedKeys(serving)
+	out.AvailableIn = sortedKeys(serving)
 	if len(out.Targets) > 0 {
 		out.Owner = route.Owner(s.Name, m.live)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,7 +28,7 @@
 	self      fleet.Entry
 	listeners listeners
 	mesh      *peer.Mesh
-	book      *claim.Registry
+	registry  *claim.Registry
 	server    *serve.Server
 	control   *control.Controller
 	admin     *admin.Server
@@ -97,7 +97,7 @@
 	var g run.Group
 	end := make(chan struct{})
 	g.Add(func() error { return waitStop(ctx, end, stop) }, func(error) { close(end) })
-	for _, component := range [...]func(context.Context) error{e.mesh.Run, e.book.Run, e.control.Run} {
+	for _, component := range [...]func(context.Context) error{e.mesh.Run, e.registry.Run, e.control.Run} {
 		ctx, cancel := context.WithCancel(componentsCtx)
 		g.Add(func() error { return component(ctx) }, func(error) { cancel() })
 	}
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -42,9 +42,9 @@
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	// OnStep is called before and after each step of a request. Tests use it to inject faults.
-	Probe func(step serve.Step, after bool)
+	OnStep func(step serve.Step, after bool)
 	// Partitioned reports whether this entry is partitioned from the peer. Tests use it to inject faults.
-	Cut func(entry string) bool
+	Partitioned func(entry string) bool
 }
 
 // logs are the two logs that entries keep in the platform's log service.
@@ -149,26 +149,26 @@
 	}
 	return &peer.Mesh{
 		Self: peer.Identity{Entry: self.ID, DataCentre: self.DataCentre, Boot: self.Boot}, Secret: secret, TLS: links,
-		Listener: l.peer, Dial: o.Dial, Partitioned: o.Cut, Events: events, Meter: m.peers,
+		Listener: l.peer, Dial: o.Dial, Partitioned: o.Partitioned, Events: events, Meter: m.peers,
 	}, nil
 }
 
-func newBook(l logs, clock *feed.Clock) *claim.Registry {
+func newRegistry(l logs, clock *feed.Clock) *claim.Registry {
 	return &claim.Registry{Append: l.claims.AppendOne, Clock: clock.Now}
 }
 
 func newDispatcher(o Options) *serve.Dispatcher { return &serve.Dispatcher{Dial: o.Dial} }
 
-func newServer(s config.Settings, self fleet.Entry, book *claim.Registry, mesh *peer.Mesh, d *serve.Dispatcher, events *event.Ring, m metrics, clock *feed.Clock, o Options) *serve.Server {
+func newServer(s config.Settings, self fleet.Entry, registry *claim.Registry, mesh *peer.Mesh, d *serve.Dispatcher, events *event.Ring, m metrics, clock *feed.Clock, o Options) *serve.Server {
 	return &serve.Server{
-		Self: self.ID, DataCentre: self.DataCentre, Boot: self.Boot, Book: book, Mesh: mesh, Targets: d,
-		Events: events, Probe: o.Probe, Metrics: tally.Scope(m.scope), Clock: clock.Now, MaxBody: int64(s.MaxBody),
+		Self: self.ID, DataCentre: self.DataCentre, Boot: self.Boot, Registry: registry, Mesh: mesh, Targets: d,
+		Events: events, OnStep: o.OnStep, Metrics: tally.Scope(m.scope), Clock: clock.Now, MaxBody: int64(s.MaxBody),
 	}
 }
 
-func newController(s config.Settings, self fleet.Entry, l logs, p *provider.Client, mesh *peer.Mesh, server *serve.Server, book *claim.Registry, events *event.Ring, clock *feed.Clock, m meters) *control.Controller {
+func newController(s config.Settings, self fleet.Entry, l logs, p *provider.Client, mesh *peer.Mesh, server *serve.Server, registry *claim.Registry, events *event.Ring, clock *feed.Clock, m meters) *control.Controller {
 	c := &control.Controller{
-		Self: self, FleetLog: l.fleet, ClaimsLog: l.claims, Platform: p, Mesh: mesh, Server: server, Registry: book, Events: events,
+		Self: self, FleetLog: l.fleet, ClaimsLog: l.claims, Platform: p, Mesh: mesh, Server: server, Registry: registry, Events: events,
 		PeerMeter: m.peers, PlatformMeter: m.platform,
 		Costs: plan.Costs{Maintenance: s.Maintenance.Std()}, CheckpointEvery: s.CheckpointEvery.Std(), Clock: clock.Now,
 	}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -110,7 +110,7 @@
 func (n *Node) followLeader(lead.Record) { n.linkPeers() }
 
 // IsLeader reports whether a recent renewal in the store has confirmed this entry as the leader.
-func (n *Node) Leads() bool { return n.elector != nil && n.elector.Confirmed() }
+func (n *Node) IsLeader() bool { return n.elector != nil && n.elector.Confirmed() }
 
 // linkPeers sets the peers to which links are kept: the leader, the seeds and the peers of the table.
 func (n *Node) linkPeers() {
--- a/entry/traffic.go
+++ b/entry/traffic.go
@@ -45,7 +45,7 @@
 		}
 		n.metrics.scope.Gauge("link_share").Update(share)
 	}
-	if n.Leads() || share > followerTrafficShare {
+	if n.IsLeader() || share > followerTrafficShare {
 		n.Events.Emit(event.LinkUsed, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("share=%.2f over=%v calls/sent/received: %v", share, trafficInterval, uses))
 	}
 }
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -10,14 +10,14 @@
 	"rackstep.dev/config"
 )
 
-// providers are the constructors of an entry's parts.
+// providers are the constructors of the components of an entry.
 var providers = wire.NewSet(
 	newIdentity, newClock, newMeters, newHTTPClient, newPlatform, newLogs, newMetrics, newEvents, newListeners, newMesh,
-	newBook, newDispatcher, newServer, newController, newAdmin,
-	wire.Struct(new(Entry), "settings", "self", "listeners", "mesh", "book", "server", "control", "admin", "metrics", "events", "targets", "platform"),
+	newRegistry, newDispatcher, newServer, newController, newAdmin,
+	wire.Struct(new(Entry), "settings", "self", "listeners", "mesh", "registry", "server", "control", "admin", "metrics", "events", "targets", "platform"),
 )
 
-// build puts an entry together; the function that is compiled is in wire_gen.go.
+// build constructs an entry. Wire generates the compiled version of it in wire_gen.go.
 func build(s config.Settings, o Options) (*Entry, func(), error) {
 	wire.Build(providers)
 	return nil, nil, nil
--- a/entry/wire_gen.go
+++ b/entry/wire_gen.go
@@ -13,7 +13,7 @@
 
 // Injectors from wire.go:
 
-// build puts an entry together; the function that is compiled is in wire_gen.go.
+// build constructs an entry. Wire generates the compiled version of it in wire_gen.go.
 func build(s config.Settings, o Options) (*Entry, func(), error) {
 	entryListeners, cleanup, err := newListeners(s, o)
 	if err != nil {
@@ -30,19 +30,19 @@
 	client := newHTTPClient(o, entryMeters)
 	clock := newClock(o)
 	entryLogs := newLogs(s, client, clock)
-	book := newBook(entryLogs, clock)
+	registry := newRegistry(entryLogs, clock)
 	dispatcher := newDispatcher(o)
 	entryMetrics := newMetrics()
-	server := newServer(s, entry, book, mesh, dispatcher, ring, entryMetrics, clock, o)
+	server := newServer(s, entry, registry, mesh, dispatcher, ring, entryMetrics, clock, o)
 	providerClient := newPlatform(s, client)
-	controller := newController(s, entry, entryLogs, providerClient, mesh, server, book, ring, clock, entryMeters)
+	controller := newController(s, entry, entryLogs, providerClient, mesh, server, registry, ring, clock, entryMeters)
 	adminServer := newAdmin(s, controller, entryMetrics)
 	entryEntry := &Entry{
 		settings:  s,
 		self:      entry,
 		listeners: entryListeners,
 		mesh:      mesh,
-		book:      book,
+		registry:  registry,
 		server:    server,
 		control:   controller,
 		admin:     adminServer,
@@ -58,8 +58,8 @@
 
 // wire.go:
 
-// providers are the constructors of an entry's parts.
+// providers are the constructors of the components of an entry.
 var providers = wire.NewSet(
 	newIdentity, newClock, newMeters, newHTTPClient, newPlatform, newLogs, newMetrics, newEvents, newListeners, newMesh,
-	newBook, newDispatcher, newServer, newController, newAdmin, wire.Struct(new(Entry), "settings", "self", "listeners", "mesh", "book", "server", "control", "admin", "metrics", "events", "targets", "platform"),
+	newRegistry, newDispatcher, newServer, newController, newAdmin, wire.Struct(new(Entry), "settings", "self", "listeners", "mesh", "registry", "server", "control", "admin", "metrics", "events", "targets", "platform"),
 )
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -20,7 +20,7 @@
 	// ErrInDoubt means that the store did not reply, so that the record may have been written. Submitting it again is safe.
 	ErrInDoubt = errors.New("in doubt: the store gave no answer; hand the same job in again, or ask for its state")
 	// ErrNotFound means that no such job was accepted.
-	ErrUnknown = errors.New("no such job")
+	ErrNotFound = errors.New("no such job")
 	// ErrUnavailable means that the scheduling entry could not be reached or does not know the answer.
 	ErrUnavailable = errors.New("the scheduling entry can't be asked now; ask again")
 )
@@ -32,7 +32,7 @@
 type Intake struct {
 	Writer *Writer
 	// Query queries the scheduling entry about a job or a queue.
-	Ask    func(ctx context.Context, q job.Query) (job.Answer, error)
+	Query  func(ctx context.Context, q job.Query) (job.Answer, error)
 	Events *event.Ring
 }
 
@@ -59,15 +59,15 @@
 // of the caller, so that a job of another organisation can't be cancelled.
 func (i *Intake) Cancel(ctx context.Context, q job.Query) error {
 	if !job.ValidID(q.ID) {
-		return ErrUnknown // in a record's key, such an ID could name another organisation's job
+		return ErrNotFound // in a record's key, such an ID could name another organisation's job
 	}
 	queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
-	a, err := i.Ask(queryCtx, q)
+	a, err := i.Query(queryCtx, q)
 	cancel()
 	owner := q.Organisation
 	switch {
 	case err == nil && !a.Known && a.Certain:
-		return ErrUnknown
+		return ErrNotFound
 	case err == nil && a.Known:
 		owner = a.Organisation
 	}
@@ -96,7 +96,7 @@
 // State returns a job's state; the error is ErrNotFound or ErrUnavailable.
 func (i *Intake) State(ctx context.Context, q job.Query) (job.State, error) {
 	if !job.ValidID(q.ID) {
-		return 0, ErrUnknown
+		return 0, ErrNotFound
 	}
 	a, err := i.query(ctx, q)
 	switch {
@@ -105,7 +105,7 @@
 	case a.Known:
 		return a.State, nil
 	case a.Certain:
-		return 0, ErrUnknown
+		return 0, ErrNotFound
 	}
 	return 0, ErrUnavailable
 }
@@ -119,7 +119,7 @@
 func (i *Intake) query(ctx context.Context, q job.Query) (job.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	a, err := i.Ask(ctx, q)
+	a, err := i.Query(ctx, q)
 	if err != nil {
 		err = fmt.Errorf("%w: %w", ErrUnavailable, err)
 		i.Events.Emit(event.JobUnanswered, event.Subject{Job: q.ID}, err.Error())
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -166,12 +166,12 @@
 		CheckpointEvery: fleet.Duration(s.Spec.CheckpointEvery),
 	}
 	e, err := entry.New(settings, entry.Options{
-		Logger:   s.Logger,
-		Platform: &cutTransport{site: s, centre: centre, next: s.transport()},
-		Listen:   s.listen,
-		Dial:     s.dial(),
-		Probe:    s.probe(name),
-		Cut:      func(peer string) bool { return s.isCut(centre, s.centreOf(peer)) || s.isCut(name, peer) },
+		Logger:      s.Logger,
+		Platform:    &cutTransport{site: s, centre: centre, next: s.transport()},
+		Listen:      s.listen,
+		Dial:        s.dial(),
+		OnStep:      s.probe(name),
+		Partitioned: func(peer string) bool { return s.isCut(centre, s.centreOf(peer)) || s.isCut(name, peer) },
 	})
 	if err != nil {
 		return err
--- a/serve/auth.go
+++ b/serve/auth.go
@@ -10,7 +10,7 @@
 )
 
 // EqualTokenHashes compares two token hashes in constant time.
-func SameHash(a, b string) bool {
+func EqualTokenHashes(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
--- a/serve/execute.go
+++ b/serve/execute.go
@@ -34,7 +34,7 @@
 	if p != nil {
 		cancel()
 		if p.Outcome == OutcomeNotRun {
-			s.Book.Release(c)
+			s.Registry.Release(c)
 		}
 		return nil, p
 	}
@@ -44,7 +44,7 @@
 		cancel()
 		if complete {
 			s.reportStep(StepCompletion, false)
-			s.Book.Complete(c, resp.Status)
+			s.Registry.Complete(c, resp.Status)
 			s.reportStep(StepCompletion, true)
 		}
 	}
@@ -67,7 +67,7 @@
 	c := s.newClaim(r, fmt.Sprintf("%s.%d", s.Boot, s.attempts.Add(1)))
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	v, err := s.Book.Claim(ctx, c)
+	v, err := s.Registry.Claim(ctx, c)
 	if err != nil {
 		p := notRun(http.StatusServiceUnavailable, ReasonNotClaimed, "send it again with the same key and the same not-after", "the key could not be claimed: %v", err)
 		p.RetryAfter = time.Second
@@ -91,7 +91,7 @@
 		p.RetryAfter = time.Second
 		return p
 	case claim.Complete:
-		p := unknown(http.StatusConflict, ReasonRanBefore, "nothing is to be done; the first answer went to the first copy",
+		p := unknown(http.StatusConflict, ReasonKeyCompleted, "nothing is to be done; the first answer went to the first copy",
 			"the request with the key %q ran and was answered with status %d", r.Key, v.Status)
 		p.FirstStatus = v.Status
 		return p
@@ -106,7 +106,7 @@
 	if r.Repeatable {
 		return nil
 	}
-	v, ok := s.Book.Lookup(s.newClaim(r, ""))
+	v, ok := s.Registry.Lookup(s.newClaim(r, ""))
 	if !ok {
 		return nil
 	}
--- a/serve/problem.go
+++ b/serve/problem.go
@@ -40,7 +40,7 @@
 	ReasonNotClaimed            Reason = "not-claimed"
 	ReasonKeyTaken              Reason = "key-taken"
 	ReasonKeyInProgress         Reason = "key-in-progress"
-	ReasonRanBefore             Reason = "key-completed"
+	ReasonKeyCompleted          Reason = "key-completed"
 	ReasonNotAfterPassed        Reason = "not-after-passed"
 	ReasonTargetFailed          Reason = "target-failed"
 	ReasonRelayFailed           Reason = "relay-failed"
--- a/serve/run.go
+++ b/serve/run.go
@@ -92,7 +92,7 @@
 func (s *Server) candidates(v *View, r *request) []string {
 	var candidates []string
 	for _, dc := range v.Allowed(r.Service, r.DataCentre) {
-		if slices.Contains(r.Service.Serving, dc) {
+		if slices.Contains(r.Service.AvailableIn, dc) {
 			candidates = append(candidates, dc)
 		}
 	}
--- a/serve/server.go
+++ b/serve/server.go
@@ -21,8 +21,8 @@
 type Server struct {
 	// Self is the entry's name, DataCentre its data centre.
 	Self, DataCentre string
-	// Book claims the keys of requests that are not repeatable.
-	Book *claim.Registry
+	// Registry claims the keys of requests that are not repeatable.
+	Registry *claim.Registry
 	// Mesh connects to the other entries.
 	Mesh *peer.Mesh
 	// Targets sends requests to targets.
@@ -33,7 +33,7 @@
 	Boot   string
 	Events *event.Ring
 	// OnStep is called before and after each step of a request. Tests use it to inject faults; it is nil in production.
-	Probe func(step Step, after bool)
+	OnStep func(step Step, after bool)
 	// Metrics receives counters and timers; tally.NoopScope is used when nil.
 	Metrics tally.Scope
 	// Clock returns the platform's time; time.Now is used when nil.
@@ -96,7 +96,7 @@
 }
 
 // AdvanceView replaces the view by one that differs only in its offset, which leaves the gates unchanged.
-func (s *Server) MoveView(v *View) { s.view.Store(v) }
+func (s *Server) AdvanceView(v *View) { s.view.Store(v) }
 
 func (s *Server) limits(svc *Service) route.Limits {
 	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Moved: svc.Owner != "" && svc.Owner != s.Self}
@@ -163,7 +163,7 @@
 func (s *Server) Ready() bool { return s.linked.Load() && s.View() != nil && !s.stopping.Load() }
 
 // SetLinkAttempted records that the entry has tried to connect to the other data centres, without which it is not ready.
-func (s *Server) SetLinked() { s.linked.Store(true) }
+func (s *Server) SetLinkAttempted() { s.linked.Store(true) }
 
 // Stop begins a planned stop: the entry is no longer ready but continues to serve requests.
 func (s *Server) Stop() { s.stopping.Store(true) }
--- a/serve/step.go
+++ b/serve/step.go
@@ -23,7 +23,7 @@
 
 // reportStep calls OnStep, if it is set, before the step or after it.
 func (s *Server) reportStep(step Step, after bool) {
-	if s.Probe != nil {
-		s.Probe(step, after)
+	if s.OnStep != nil {
+		s.OnStep(step, after)
 	}
 }
--- a/serve/view.go
+++ b/serve/view.go
@@ -22,9 +22,9 @@
 	// Entries are the live entries that can be reached, by data centre and sorted by name.
 	Entries map[string][]string
 	// ByDistance lists the data centres, nearest first.
-	Near []string
+	ByDistance []string
 	// RegionSize is the number of data centres at the start of ByDistance that are in this entry's region.
-	Region int
+	RegionSize int
 }
 
 // nearbyCount returns how many of the data centres, which must be in the order of ByDistance, are in this entry's region. When
@@ -32,7 +32,7 @@
 func (v *View) nearbyCount(dataCentres []string) int {
 	n := 0
 	for _, dc := range dataCentres {
-		if slices.Index(v.Near, dc) < v.Region {
+		if slices.Index(v.ByDistance, dc) < v.RegionSize {
 			n++
 		}
 	}
@@ -52,14 +52,14 @@
 	// Targets are the available targets in this data centre.
 	Targets []route.Target
 	// AvailableIn are the data centres that have an available target.
-	Serving []string
+	AvailableIn []string
 }
 
 // Allowed returns the data centres where a request for the service may run, nearest first. A non-empty bound restricts them to
 // that data centre.
 func (v *View) Allowed(s *Service, bound string) []string {
 	var allowed []string
-	for _, dc := range v.Near {
+	for _, dc := range v.ByDistance {
 		if slices.Contains(s.DataCentres, dc) && (bound == "" || bound == dc) {
 			allowed = append(allowed, dc)
 		}
