--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -68,7 +68,7 @@
 	state := ""
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		_, state = w.d.call(node, http.MethodGet, id, nil)
-		if state == `{"State":"succeeded"}` || (state == `{"State":"failed"}` && w.d.platform.LivesEndedUnder(id) >= job.LossLimitConclusive) {
+		if state == `{"State":"succeeded"}` || (state == `{"State":"failed"}` && w.d.platform.IncarnationsEndedUnder(id) >= job.LossLimitConclusive) {
 			return
 		}
 	}
--- a/entry/node_test.go
+++ b/entry/node_test.go
@@ -365,7 +365,7 @@
 		})
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 9, Cpu: 1000, MemMb: 100}), quicktest.Equals, 200)
 		time.Sleep(time.Second)
-		machine := d.platform.MachineOf(d.platform.Runs()[0].Life)
+		machine := d.platform.MachineOf(d.platform.Runs()[0].Incarnation)
 		d.platform.Crash(machine)
 		d.platform.Revive(machine)
 		d.await(0, "00000000000000a1", "succeeded", 25*time.Second)
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -80,7 +80,7 @@
 func boundsOf(s *platform.Settings) pool.Bounds {
 	return pool.Bounds{
 		Lease: platform.Millis(s.Bounds.LeaseMillis), Stop: platform.Millis(s.Bounds.StopMillis),
-		Status: platform.Seconds(s.Bounds.StatusSeconds), Upkeep: platform.Seconds(s.Bounds.UpkeepSeconds),
+		Status: platform.Seconds(s.Bounds.StatusSeconds), Maintenance: platform.Seconds(s.Bounds.UpkeepSeconds),
 		Move: platform.Seconds(s.Bounds.MoveSeconds), MaxAbsence: platform.Millis(s.Bounds.NoticeMillis),
 		MaxOverTarget: platform.Millis(s.Bounds.HarmMillis),
 	}
--- a/event/losses.go
+++ b/event/losses.go
@@ -97,8 +97,8 @@
 // lossRun is one run of a task.
 type lossRun struct {
 	interval
-	life      string
-	succeeded bool
+	incarnation string
+	succeeded   bool
 }
 
 // lossJob is what the logs contain about one job.
@@ -118,9 +118,9 @@
 	capped map[string][]interval
 	// runs holds the runs of each task in the order of their starts.
 	runs map[string][]lossRun
-	// silent holds the intervals in which each worker's life did not answer the leader.
+	// silent holds the intervals in which each worker's incarnation did not answer the leader.
 	silent map[string][]interval
-	// running holds the tasks of each life that have a run without an end so far.
+	// running holds the tasks of each incarnation that have a run without an end so far.
 	running map[string]map[string]bool
 }
 
@@ -190,7 +190,7 @@
 }
 
 func (s *lossScan) startRun(l LogLine) {
-	s.runs[l.Job] = append(s.runs[l.Job], lossRun{interval: interval{from: l.Time}, life: l.Instance})
+	s.runs[l.Job] = append(s.runs[l.Job], lossRun{interval: interval{from: l.Time}, incarnation: l.Instance})
 	if s.running[l.Instance] == nil {
 		s.running[l.Instance] = make(map[string]bool)
 	}
@@ -229,11 +229,11 @@
 	}
 }
 
-// endRunsOf ends the runs of a worker whose life has ended or whose leases have expired.
+// endRunsOf ends the runs of a worker whose incarnation has ended or whose leases have expired.
 func (s *lossScan) endRunsOf(l LogLine) {
 	for task := range s.running[l.Instance] {
 		runs := s.runs[task]
-		if r := &runs[len(runs)-1]; r.life == l.Instance && r.to.IsZero() {
+		if r := &runs[len(runs)-1]; r.incarnation == l.Instance && r.to.IsZero() {
 			r.to = l.Time
 		}
 	}
@@ -377,7 +377,7 @@
 	if r.to.IsZero() && newest {
 		return
 	}
-	for _, x := range s.silent[r.life] {
+	for _, x := range s.silent[r.incarnation] {
 		from, to := x.from, x.to
 		if to.IsZero() || (!r.to.IsZero() && to.After(r.to)) {
 			to = r.to
--- a/event/losses_test.go
+++ b/event/losses_test.go
@@ -90,13 +90,13 @@
 		}
 		for range r.IntN(30) {
 			task := fmt.Sprintf("00000000000000a1.0.%d.%d", r.IntN(2), r.IntN(3))
-			life := fmt.Sprintf("i%d", r.IntN(2))
+			incarnation := fmt.Sprintf("i%d", r.IntN(2))
 			lines = append(lines, [...]string{
-				at() + ` event=820 name=run-ordered instance=` + life + ` job=` + task + ` text="run=1"`,
-				at() + ` event=823 name=run-ended instance=` + life + ` job=` + task + ` text="run=1 how=succeeded"`,
-				at() + ` event=823 name=run-ended instance=` + life + ` job=` + task + ` text="run=1 how=lapsed"`,
-				at() + ` event=831 name=worker-silent instance=` + life + ` text="machine=m"`,
-				at() + ` event=831 name=worker-silent instance=` + life + ` text="answers again after 1s"`,
+				at() + ` event=820 name=run-ordered instance=` + incarnation + ` job=` + task + ` text="run=1"`,
+				at() + ` event=823 name=run-ended instance=` + incarnation + ` job=` + task + ` text="run=1 how=succeeded"`,
+				at() + ` event=823 name=run-ended instance=` + incarnation + ` job=` + task + ` text="run=1 how=lapsed"`,
+				at() + ` event=831 name=worker-silent instance=` + incarnation + ` text="machine=m"`,
+				at() + ` event=831 name=worker-silent instance=` + incarnation + ` text="answers again after 1s"`,
 				at() + ` event=810 name=job-taken job=00000000000000a1 text="submit took=300ms"`,
 			}[r.IntN(6)])
 		}
--- a/internal/standin/platformtest/platform.go
+++ b/internal/standin/platformtest/platform.go
@@ -22,9 +22,9 @@
 
 // Times of the stand-in.
 const (
-	heartbeat   = 1500 * time.Millisecond
-	upkeepTakes = 2 * time.Second
-	lateBy      = 3 * time.Second
+	heartbeat        = 1500 * time.Millisecond
+	maintenanceTakes = 2 * time.Second
+	lateBy           = 3 * time.Second
 	// silence is how long a call without an answer keeps its connection; every caller has given up by then.
 	silence = 5 * time.Second
 )
@@ -59,12 +59,12 @@
 	// Takes returns how long a task runs, 0 for ever; a second when nil.
 	Takes func(task string) time.Duration
 	// Fails says whether a run that has taken its time has failed; none does when nil.
-	Fails func(task, life string) bool
+	Fails func(task, incarnation string) bool
 	// Crashes returns how long after its start a task crashes its worker, 0 for a task that does not; none does when nil. The instance is back
 	// a second later.
 	Crashes func(task string) time.Duration
-	// Reborn says that workers tell their births, and that one which has crashed comes back under its ID, at its address; each birth is before
-	// the one of the life before, as after a step of the clock.
+	// Reborn says that workers tell their boot IDs, and that one which has crashed comes back under its ID, at its address; each boot ID is before
+	// the one of the incarnation before, as after a step of the clock.
 	Reborn bool
 
 	// ZoneOf returns the data centre of an instance; all are in one when nil.
@@ -72,17 +72,17 @@
 
 	Store Store
 
-	mu      sync.Mutex
-	faults  func(address, path string) Fault
-	history []*Run
-	workers map[string]*Worker
-	done    map[string]bool // instances maintained, by wave
-	down    map[string]bool
-	fences  map[string]int64
-	lives   int
-	servers []*http.Server
-	ctx     context.Context
-	work    sync.WaitGroup
+	mu           sync.Mutex
+	faults       func(address, path string) Fault
+	history      []*Run
+	workers      map[string]*Worker
+	done         map[string]bool // instances maintained, by wave
+	down         map[string]bool
+	fences       map[string]int64
+	incarnations int
+	servers      []*http.Server
+	ctx          context.Context
+	work         sync.WaitGroup
 }
 
 // Start serves until the context ends.
@@ -197,7 +197,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.workers {
-		if w.Address == address && w.Life != "" {
+		if w.Address == address && w.Incarnation != "" {
 			return w
 		}
 	}
@@ -237,7 +237,7 @@
 	p.Store.Put("keyed.op", "config", b)
 }
 
-// RequestWave asks for the upkeep of instances.
+// RequestWave asks for the maintenance of instances.
 func (p *Platform) RequestWave(number int, machines []string, most int) {
 	b, _ := json.Marshal(map[string]any{"Wave": number, "Machines": machines, "DurationS": 60, "Cap": most})
 	p.Store.Put("keyed.op", fmt.Sprintf("wave/%d", number), b)
@@ -268,21 +268,21 @@
 // addWorker starts a worker, under the ID and at the address of the one before unless that is nil.
 func (p *Platform) addWorker(before *Worker, machine, pool string, milliCPU, memoryMB int) *Worker {
 	p.mu.Lock()
-	p.lives++
+	p.incarnations++
 	w := &Worker{
-		Life: fmt.Sprintf("i-%04d", p.lives), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.lives/250, p.lives%250+1)),
+		Incarnation: fmt.Sprintf("i-%04d", p.incarnations), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.incarnations/250, p.incarnations%250+1)),
 		MilliCPU: milliCPU, MemoryMB: memoryMB, platform: p, began: time.Now(), ended: make(chan struct{}), stopped: make(map[string]int64),
 	}
 	if p.Reborn {
-		w.Birth = time.Now().UnixMilli() - int64(p.lives)*time.Hour.Milliseconds()
+		w.BootID = time.Now().UnixMilli() - int64(p.incarnations)*time.Hour.Milliseconds()
 	}
 	if before != nil {
-		w.Life, w.Address = before.Life, before.Address
+		w.Incarnation, w.Address = before.Incarnation, before.Address
 	}
 	p.workers[machine] = w
 	off := pool == p.Off
 	if off {
-		w.Life, w.dead = "", true
+		w.Incarnation, w.dead = "", true
 	}
 	p.mu.Unlock()
 	if off {
@@ -299,7 +299,7 @@
 	return w
 }
 
-// Crash ends a worker's life; its entry stays in the list.
+// Crash ends a worker's incarnation; its entry stays in the list.
 func (p *Platform) Crash(machine string) {
 	p.mu.Lock()
 	w := p.workers[machine]
@@ -312,9 +312,9 @@
 	}
 }
 
-// LivesEndedUnder returns how many workers have crashed under one task of a job, by their own history. From two on the users allow that the job is
+// IncarnationsEndedUnder returns how many workers have crashed under one task of a job, by their own history. From two on the users allow that the job is
 // given up: who is beside what crashes workers again and again can't be told from that.
-func (p *Platform) LivesEndedUnder(job string) int {
+func (p *Platform) IncarnationsEndedUnder(job string) int {
 	most, lost := 0, make(map[string]int)
 	for _, x := range p.Runs() {
 		if strings.HasPrefix(x.Task, job+".") && x.How == "lost" {
@@ -350,9 +350,9 @@
 		"Service": w.Pool, "Address": w.Address, "Zone": p.Zone(w.Machine), "State": state, "Machine": w.Machine, "Seq": w.seq,
 		"Capacity": map[string]int{"Cpu": w.MilliCPU, "MemMb": w.MemoryMB}, "Labels": []string{"a", "r1-1"},
 	}
-	w.tellBirth(entry)
+	w.tellBootID(entry)
 	b, _ := json.Marshal(entry)
-	p.Store.Put("keyed.servers", w.Life, b)
+	p.Store.Put("keyed.servers", w.Incarnation, b)
 }
 
 func (p *Platform) all() []*Worker {
@@ -360,7 +360,7 @@
 	for _, w := range p.workers {
 		out = append(out, w)
 	}
-	slices.SortFunc(out, func(a, b *Worker) int { return strings.Compare(a.Life, b.Life) })
+	slices.SortFunc(out, func(a, b *Worker) int { return strings.Compare(a.Incarnation, b.Incarnation) })
 	return out
 }
 
@@ -431,18 +431,18 @@
 		if p.down[x.Machine] {
 			state = "upkeep"
 		}
-		rows = append(rows, map[string]any{"Machine": x.Machine, "Pool": x.Pool, "Zone": p.Zone(x.Machine), "State": state, "Id": x.Life})
+		rows = append(rows, map[string]any{"Machine": x.Machine, "Pool": x.Pool, "Zone": p.Zone(x.Machine), "State": state, "Id": x.Incarnation})
 	}
 	p.mu.Unlock()
 	reply(w, http.StatusOK, map[string]any{"Machines": rows, "NextToken": nil})
 }
 
-// revive brings an instance back as another life.
+// revive brings an instance back as another incarnation.
 func (p *Platform) revive(x *Worker, pool string, crashed bool) {
 	select {
 	case <-p.ctx.Done():
 		return
-	case <-time.After(upkeepTakes):
+	case <-time.After(maintenanceTakes):
 	}
 	p.mu.Lock()
 	current := p.workers[x.Machine] == x
@@ -456,7 +456,7 @@
 	if p.Reborn && crashed {
 		p.addWorker(x, x.Machine, pool, x.MilliCPU, x.MemoryMB)
 	} else {
-		p.Store.Put("keyed.servers", x.Life, nil)
+		p.Store.Put("keyed.servers", x.Incarnation, nil)
 		p.AddWorker(x.Machine, pool, x.MilliCPU, x.MemoryMB)
 	}
 	p.mu.Lock()
@@ -464,12 +464,12 @@
 	p.mu.Unlock()
 }
 
-// MachineOf returns the instance of a life, empty when it has another life now.
-func (p *Platform) MachineOf(life string) string {
+// MachineOf returns the instance of an incarnation, empty when it has another incarnation now.
+func (p *Platform) MachineOf(incarnation string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for machine, w := range p.workers {
-		if w.Life == life {
+		if w.Incarnation == incarnation {
 			return machine
 		}
 	}
@@ -526,7 +526,7 @@
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if b.From.Before(a.To) || a.To.IsZero() {
-					wrong = append(wrong, fmt.Sprintf("%s: run %d on %s began while run %d on %s went on", task, b.Number, b.Life, a.Number, a.Life))
+					wrong = append(wrong, fmt.Sprintf("%s: run %d on %s began while run %d on %s went on", task, b.Number, b.Incarnation, a.Number, a.Incarnation))
 				}
 				if a.How == "done" && a.Acked && b.From.After(a.AckedAt) {
 					wrong = append(wrong, fmt.Sprintf("%s: run %d began after run %d was done and acknowledged", task, b.Number, a.Number))
--- a/internal/standin/platformtest/worker.go
+++ b/internal/standin/platformtest/worker.go
@@ -12,9 +12,9 @@
 
 // Run is one run of a task in the history.
 type Run struct {
-	Task   string
-	Number int64
-	Life   string
+	Task        string
+	Number      int64
+	Incarnation string
 	// Zone is the data centre of its instance.
 	Zone string
 	From time.Time
@@ -33,12 +33,12 @@
 	pace   int
 }
 
-// Worker is one life of the stand-in's workers.
+// Worker is one incarnation of the stand-in's workers.
 type Worker struct {
-	Life, Machine, Pool, Address string
-	MilliCPU, MemoryMB           int
-	// Birth tells its lives apart that bear one ID, 0 where the stand-in tells none.
-	Birth    int64
+	Incarnation, Machine, Pool, Address string
+	MilliCPU, MemoryMB                  int
+	// BootID tells its incarnations apart that bear one ID, 0 where the stand-in tells none.
+	BootID   int64
 	platform *Platform
 	server   *http.Server
 
@@ -84,7 +84,7 @@
 	switch {
 	case w.dead && w.platform.Reborn:
 		panic(http.ErrAbortHandler) // its connections break
-	case w.dead || r.Header.Get("X-Expect-Instance") != w.Life:
+	case w.dead || r.Header.Get("X-Expect-Instance") != w.Incarnation:
 		reply(rw, http.StatusMisdirectedRequest, nil)
 		return
 	case o.Fence < w.fence:
@@ -142,7 +142,7 @@
 		refuse("old")
 		return
 	}
-	x := &Run{Task: task, Number: number, Life: w.Life, Zone: w.platform.Zone(w.Machine), From: time.Now(), saved: saved, pace: 100}
+	x := &Run{Task: task, Number: number, Incarnation: w.Incarnation, Zone: w.platform.Zone(w.Machine), From: time.Now(), saved: saved, pace: 100}
 	w.runs = append(w.runs, x)
 	w.platform.note(x)
 	if w.platform.Crashes != nil && w.platform.Crashes(task) > 0 {
@@ -152,7 +152,7 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			how := "done"
-			if w.platform.Fails != nil && w.platform.Fails(task, w.Life) {
+			if w.platform.Fails != nil && w.platform.Fails(task, w.Incarnation) {
 				how = "failed"
 			}
 			w.end(x, how)
@@ -232,18 +232,18 @@
 	}
 	slices.SortFunc(ends, func(a, b []any) int { return int(a[0].(int64) - b[0].(int64)) })
 	list := map[string]any{"ClockMs": w.clock(), "Running": running, "Ended": ends}
-	w.tellBirth(list)
+	w.tellBootID(list)
 	reply(rw, http.StatusOK, list)
 }
 
-// tellBirth adds the birth to what the worker says of itself, or of what runs there.
-func (w *Worker) tellBirth(said map[string]any) {
-	if w.Birth != 0 {
-		said["born"] = w.Birth
+// tellBootID adds the boot ID to what the worker says of itself, or of what runs there.
+func (w *Worker) tellBootID(said map[string]any) {
+	if w.BootID != 0 {
+		said["born"] = w.BootID
 	}
 }
 
-// die ends the life and all that runs there.
+// die ends the incarnation and all that runs there.
 func (w *Worker) die() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// replace crashes the entry and starts another life of it a little later.
+// replace crashes the entry and starts another incarnation of it a little later.
 func (c *fleetCell) replace(name string) {
 	centre := c.site.centreOf(name)
 	c.site.CrashEntry(name)
--- a/job/encoding_test.go
+++ b/job/encoding_test.go
@@ -28,13 +28,13 @@
 	golden.Check(c, "spec", spec, Encode, Decode)
 	golden.Check(c, "kept", Stored{
 		State: 3, Done: []byte{4, 5}, Failed: []FailedRun{{Ordinal: 6, Run: 7}}, Ended: 8, Began: true,
-		Runs: []OrderedRun{{Ordinal: 9, Run: 10, Life: "life"}},
+		Runs: []OrderedRun{{Ordinal: 9, Run: 10, Incarnation: "life"}},
 	}, Encode, Decode)
 	golden.Check(c, "kept-running", Stored{State: 1}, Encode, Decode)
 	golden.Check(c, "kept-late", []StoredLate{{Ordinal: 1, Until: 2}}, Encode, Decode)
 	golden.Check(c, "kept-lost", []StoredLost{
-		{Ordinal: 1, Run: 2, Life: "life", AgeMS: 3, Suspects: 4, Isolated: true},
-		{Ordinal: 5, Run: 6, Life: "next", AgeMS: -1, Suspects: 7, Conclusive: true},
+		{Ordinal: 1, Run: 2, Incarnation: "life", AgeMS: 3, Suspects: 4, Isolated: true},
+		{Ordinal: 5, Run: 6, Incarnation: "next", AgeMS: -1, Suspects: 7, Conclusive: true},
 	}, Encode, Decode)
 }
 
--- a/job/job.go
+++ b/job/job.go
@@ -49,7 +49,7 @@
 	// repeat.
 	Step, Time, Index int
 	Phase             Phase
-	// Run is the number of the latest run, or 0 before the first. Worker is the life of the worker that it was
+	// Run is the number of the latest run, or 0 before the first. Worker is the incarnation of the worker that it was
 	// assigned to.
 	Run    int64
 	Worker string
@@ -68,7 +68,7 @@
 	// time had not come when the task was last considered.
 	NotBefore  time.Time
 	BackingOff bool
-	// LateUntil is the time until which a later life of the worker may still carry out an unanswered start of the
+	// LateUntil is the time until which a later incarnation of the worker may still carry out an unanswered start of the
 	// task. The task is not started elsewhere before then. The zero time means that no such start is outstanding.
 	LateUntil time.Time
 	// Refused counts the consecutive starts that were refused. Failures counts the consecutive runs that ended
@@ -76,7 +76,7 @@
 	Refused, Failures int
 	// Stopping reports that the run was told to stop.
 	Stopping bool
-	// Lost are the runs during which the life of the worker ended, oldest first. Suspect reports that the next run
+	// Lost are the runs during which the incarnation of the worker ended, oldest first. Suspect reports that the next run
 	// must be an isolated trial, because the task may have crashed its worker.
 	Lost    []LostRun
 	Suspect bool
--- a/job/lost.go
+++ b/job/lost.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Limits on how often a task is started whose workers crash. The life of a worker that ends during a run of the task
+// Limits on how often a task is started whose workers crash. The incarnation of a worker that ends during a run of the task
 // is a loss of that task.
 const (
 	// LossLimitConclusive is the number of losses after which the task is given up if the last one is conclusive
@@ -24,23 +24,23 @@
 // AgeUnknown is the age of a run whose start was not ordered by this leader.
 const AgeUnknown time.Duration = -1
 
-// LostRun is a run during which the life of its worker ended, or that may have been there when it did.
+// LostRun is a run during which the incarnation of its worker ended, or that may have been there when it did.
 type LostRun struct {
-	Run  int64
-	Life string
-	// Age is how long after the order of the run the life ended, as far as the leader knows. It is AgeUnknown for a
+	Run         int64
+	Incarnation string
+	// Age is how long after the order of the run the incarnation ended, as far as the leader knows. It is AgeUnknown for a
 	// run that an earlier leader ordered.
 	Age time.Duration
-	// Suspects is the number of runs, including this one, that may have ended the life, judging by their ages. It
+	// Suspects is the number of runs, including this one, that may have ended the incarnation, judging by their ages. It
 	// is 0 if this run most likely did not.
 	Suspects int
-	// Isolated reports that the run was an isolated trial that had not been cleared when the life ended. Conclusive
-	// reports that the worker confirmed the run and its life ended at once, so that there is hardly any other
+	// Isolated reports that the run was an isolated trial that had not been cleared when the incarnation ended. Conclusive
+	// reports that the worker confirmed the run and its incarnation ended at once, so that there is hardly any other
 	// explanation.
 	Isolated, Conclusive bool
 }
 
-// RecordLost records that a run was lost with the life of its worker. Each run counts once. It reports whether this
+// RecordLost records that a run was lost with the incarnation of its worker. Each run counts once. It reports whether this
 // was new.
 func (j *Job) RecordLost(t *Task, l LostRun) bool {
 	for _, o := range t.Lost {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// RetractLost removes the record of a lost run, because its order reached another life or was never sent.
+// RetractLost removes the record of a lost run, because its order reached another incarnation or was never sent.
 func (j *Job) RetractLost(t *Task, run int64) {
 	lost := len(t.Lost)
 	t.Lost = slices.DeleteFunc(t.Lost, func(l LostRun) bool { return l.Run == run })
@@ -109,7 +109,7 @@
 	return risk
 }
 
-// MaxLostAge returns the greatest age among the lost runs that may have ended a life, or among all lost runs if none
+// MaxLostAge returns the greatest age among the lost runs that may have ended an incarnation, or among all lost runs if none
 // may have.
 func (t *Task) MaxLostAge() time.Duration {
 	maxSuspect, maxAny := time.Duration(0), time.Duration(0)
@@ -126,7 +126,7 @@
 }
 
 // ageTolerance is the maximum difference between the ages of two losses with the same cause. A task that crashes its
-// worker does so at the same point of each run, and orders take some milliseconds to arrive. Lives that end for
+// worker does so at the same point of each run, and orders take some milliseconds to arrive. Incarnations that end for
 // other reasons end at any age of their runs.
 const ageTolerance = 100 * time.Millisecond
 
@@ -161,10 +161,10 @@
 // StoredLost is the stored form of a lost run. It is not part of Stored, so that versions that do not know it can
 // still read Stored.
 type StoredLost struct {
-	_       struct{} `cbor:",toarray"`
-	Ordinal int
-	Run     int64
-	Life    string
+	_           struct{} `cbor:",toarray"`
+	Ordinal     int
+	Run         int64
+	Incarnation string
 	// AgeMS is LostRun.Age in milliseconds.
 	AgeMS                int64
 	Suspects             int
@@ -187,7 +187,7 @@
 	var kept []StoredLost
 	for i := range j.Tasks {
 		for _, l := range j.Tasks[i].Lost {
-			kept = append(kept, StoredLost{Ordinal: i, Run: l.Run, Life: l.Life, AgeMS: l.ageMS(), Suspects: l.Suspects, Isolated: l.Isolated, Conclusive: l.Conclusive})
+			kept = append(kept, StoredLost{Ordinal: i, Run: l.Run, Incarnation: l.Incarnation, AgeMS: l.ageMS(), Suspects: l.Suspects, Isolated: l.Isolated, Conclusive: l.Conclusive})
 		}
 	}
 	return kept
@@ -202,7 +202,7 @@
 			if k.AgeMS < 0 {
 				age = AgeUnknown
 			}
-			j.RecordLost(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Life: k.Life, Age: age, Suspects: k.Suspects, Isolated: k.Isolated, Conclusive: k.Conclusive})
+			j.RecordLost(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Incarnation: k.Incarnation, Age: age, Suspects: k.Suspects, Isolated: k.Isolated, Conclusive: k.Conclusive})
 		}
 	}
 	j.Version = j.StoredVersion // the restored state is already stored
--- a/job/lost_test.go
+++ b/job/lost_test.go
@@ -59,7 +59,7 @@
 func TestALostRunCountsOnceAndOutlivesEveryProcess(t *testing.T) {
 	c := quicktest.New(t)
 	j := lostJob(false)
-	l := job.LostRun{Run: 7, Life: "w1", Age: 30 * time.Millisecond, Suspects: 4, Isolated: true}
+	l := job.LostRun{Run: 7, Incarnation: "w1", Age: 30 * time.Millisecond, Suspects: 4, Isolated: true}
 	c.Assert(j.RecordLost(&j.Tasks[1], l), quicktest.IsTrue)
 	c.Assert(j.RecordLost(&j.Tasks[1], l), quicktest.IsFalse)
 	value, err := job.Encode(j.StoredLost())
--- a/job/stored.go
+++ b/job/stored.go
@@ -26,12 +26,12 @@
 	Runs []OrderedRun
 }
 
-// OrderedRun identifies a run and the life of the worker that it was assigned to.
+// OrderedRun identifies a run and the incarnation of the worker that it was assigned to.
 type OrderedRun struct {
-	_       struct{} `cbor:",toarray"`
-	Ordinal int
-	Run     int64
-	Life    string
+	_           struct{} `cbor:",toarray"`
+	Ordinal     int
+	Run         int64
+	Incarnation string
 }
 
 // FailedRun identifies a run that failed.
@@ -50,7 +50,7 @@
 			k.Done[i/8] |= 1 << (i % 8)
 		}
 		if t.Phase == Starting || t.Phase == Active {
-			k.Runs = append(k.Runs, OrderedRun{Ordinal: i, Run: t.Run, Life: t.Worker})
+			k.Runs = append(k.Runs, OrderedRun{Ordinal: i, Run: t.Run, Incarnation: t.Worker})
 		}
 		for _, r := range t.FailedRuns {
 			k.Failed = append(k.Failed, FailedRun{Ordinal: i, Run: r})
--- a/upkeep/upkeep_test.go
+++ b/maintenance/maintenance_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-package upkeep
+package maintenance
 
 import (
 	"fmt"
--- a/upkeep/pace.go
+++ b/maintenance/pace.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-package upkeep
+package maintenance
 
 // Parameters of the pace of filling tasks. Paces are percentages of full work; thresholds are fractions of the tail
 // latency target of the serving tasks on the same worker.
--- a/upkeep/wave.go
+++ b/maintenance/wave.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-package upkeep
+package maintenance
 
 import (
 	"cmp"
@@ -23,19 +23,19 @@
 	plannedPart = 0.75
 )
 
-// Wave is the progress of a wave of instance upkeep.
+// Wave is the progress of a wave of instance maintenance.
 type Wave struct {
 	// MaxAway is the number of instances that may be away at the same time.
 	MaxAway int
-	// Remaining is the number of instances whose upkeep is not done, Out the number of those that are being emptied
+	// Remaining is the number of instances whose maintenance is not done, Out the number of those that are being emptied
 	// or are away, and OutLasting the number of those that still have lasting tasks.
 	Remaining, Out, OutLasting int
 	// Within is the time allowed for the wave, Elapsed the time since its start, and Each the duration of one
-	// upkeep.
+	// maintenance.
 	Within, Elapsed, Each time.Duration
 }
 
-// Candidate is an instance whose upkeep may begin.
+// Candidate is an instance whose maintenance may begin.
 type Candidate struct {
 	Name, Pool string
 	// Runs is the number of its runs, and Lasting the number of those that belong to lasting tasks.
--- a/upkeep/wave_test.go
+++ b/maintenance/wave_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-package upkeep
+package maintenance
 
 import (
 	"fmt"
@@ -45,7 +45,7 @@
 	}
 }
 
-// Simulates a wave without idle instances, in which each upkeep takes as long as planned.
+// Simulates a wave without idle instances, in which each maintenance takes as long as planned.
 func TestAWaveIsInTimeAtItsPace(t *testing.T) {
 	for _, n := range []int{1, 7, 27, 60} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/place/index.go
+++ b/place/index.go
@@ -72,7 +72,7 @@
 			if !atLeast(r.Free, need) {
 				continue
 			}
-			if r.Worker.Life == avoid {
+			if r.Worker.Incarnation == avoid {
 				avoided = r
 				continue
 			}
--- a/place/overload_test.go
+++ b/place/overload_test.go
@@ -183,7 +183,7 @@
 func simulateJobs(jobs []*loadJob, outageStart, outageLength time.Duration, ledger *org.Ledger) {
 	var candidates []*Candidate
 	for i := range loadInstances {
-		w := &work.Worker{Life: fmt.Sprint(i), Capacity: job.Need{MilliCPU: 1000 * loadCores, MemoryMB: 1 << 20}}
+		w := &work.Worker{Incarnation: fmt.Sprint(i), Capacity: job.Need{MilliCPU: 1000 * loadCores, MemoryMB: 1 << 20}}
 		candidates = append(candidates, &Candidate{Worker: w, Free: w.Capacity})
 	}
 	var ends []loadEnd
--- a/place/shares_test.go
+++ b/place/shares_test.go
@@ -31,7 +31,7 @@
 func chosen(groups []*Group, candidates []*Candidate, draft *org.Draft) string {
 	out := make(map[string]string)
 	for _, x := range Tasks(groups, candidates, draft) {
-		out[x.Task.Name()] = x.Candidate.Worker.Life
+		out[x.Task.Name()] = x.Candidate.Worker.Incarnation
 	}
 	return fmt.Sprint(out)
 }
--- a/place/sharing.go
+++ b/place/sharing.go
@@ -20,7 +20,7 @@
 
 // minPart is the minimum factor for the value of the groups of an organisation that uses more than its share. It is
 // larger than the 0.07 that a late job yields, so that its jobs that can be in time still go before late jobs of
-// others. Without a minimum, backlogs lasted so long that upkeep waves were late in 5 of 6 simulated days with hot
+// others. Without a minimum, backlogs lasted so long that maintenance waves were late in 5 of 6 simulated days with hot
 // organisations, and in none of 4 with it or without shares.
 const minPart = 0.12
 
--- a/place/suspects.go
+++ b/place/suspects.go
@@ -53,7 +53,7 @@
 			}
 			reserve(g, r)
 			trials.Draft.Acquire(g.organisation(), step.Need)
-			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack, Isolated: true})
+			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Incarnation], Slack: g.Slack, Isolated: true})
 		}
 	}
 	return out, candidates
--- a/place/suspects_test.go
+++ b/place/suspects_test.go
@@ -16,7 +16,7 @@
 
 // candidateWithFree returns a candidate with a capacity of four tasks of which some are free.
 func candidateWithFree(name string, free int) *place.Candidate {
-	return &place.Candidate{Worker: &work.Worker{Life: name, Capacity: job.Need{MilliCPU: 4000, MemoryMB: 400}}, Free: job.Need{MilliCPU: 1000 * free, MemoryMB: 100 * free}}
+	return &place.Candidate{Worker: &work.Worker{Incarnation: name, Capacity: job.Need{MilliCPU: 4000, MemoryMB: 400}}, Free: job.Need{MilliCPU: 1000 * free, MemoryMB: 100 * free}}
 }
 
 // suspects returns a group of tasks that are suspected of having crashed a worker, each as one of the given number
@@ -37,12 +37,12 @@
 	fresh := candidateWithFree("fresh", 4)
 	fresh.RecentStart = true
 	for _, x := range [...]struct {
-		name   string
-		rooms  []*place.Candidate
-		group  *place.Group
-		trials place.TrialLimits
-		want   []string
-		left   int
+		name       string
+		candidates []*place.Candidate
+		group      *place.Group
+		trials     place.TrialLimits
+		want       []string
+		left       int
 	}{
 		{"the emptiest", []*place.Candidate{candidateWithFree("a", 1), candidateWithFree("b", 3)}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, []string{"b"}, 1},
 		{"never beside what lasts while there is another", []*place.Candidate{lasting, candidateWithFree("a", 1)}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, []string{"a"}, 1},
@@ -56,11 +56,11 @@
 		{"none while another goes on with all the risk", []*place.Candidate{candidateWithFree("a", 4)}, suspects(1, 1), place.TrialLimits{Max: 1, MaxRisk: 0.2, Ongoing: true}, nil, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			choices, left := place.PlaceSuspects([]*place.Group{x.group}, x.rooms, x.trials)
+			choices, left := place.PlaceSuspects([]*place.Group{x.group}, x.candidates, x.trials)
 			var got []string
 			for _, y := range choices {
 				quicktest.Assert(t, y.Isolated, quicktest.IsTrue)
-				got = append(got, y.Candidate.Worker.Life)
+				got = append(got, y.Candidate.Worker.Incarnation)
 			}
 			quicktest.Assert(t, got, quicktest.DeepEquals, x.want)
 			quicktest.Assert(t, len(left), quicktest.Equals, x.left)
--- a/place/tasks.go
+++ b/place/tasks.go
@@ -20,8 +20,8 @@
 	// Serving and Filling are the numbers of its lasting tasks that serve users and of those that fill spare
 	// capacity.
 	Serving, Filling int
-	// UpkeepDue reports that the instance must be emptied soon for its upkeep.
-	UpkeepDue bool
+	// MaintenanceDue reports that the instance must be emptied soon for its maintenance.
+	MaintenanceDue bool
 	// Cold reports that the worker is slow since its start. It only gets tasks that no other worker has capacity
 	// for.
 	Cold bool
@@ -51,9 +51,9 @@
 	ReadySince time.Time
 	// Tasks are the tasks that wait for a worker.
 	Tasks []*job.Task
-	// OnWorker counts the step's tasks by the life of their worker. It is only set if the step limits them.
+	// OnWorker counts the step's tasks by the incarnation of their worker. It is only set if the step limits them.
 	OnWorker map[string]int
-	// Tickets holds the tickets of the only workers that may run the step, by life. If it is nil, any worker may.
+	// Tickets holds the tickets of the only workers that may run the step, by incarnation. If it is nil, any worker may.
 	Tickets map[string]string
 	// Racks counts the step's tasks by rack. It is only set for lasting steps, which are spread over racks.
 	Racks map[string]int
@@ -163,7 +163,7 @@
 			reserve(g, r)
 			free.insert(r)
 			draft.Acquire(g.organisation(), step.Need)
-			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack})
+			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Incarnation], Slack: g.Slack})
 		}
 		if step.Gang && len(out)-before < len(g.Tasks) {
 			for _, c := range out[before:] {
@@ -225,7 +225,7 @@
 	r.Free.MemoryMB += sign * n.MemoryMB
 	r.Free.GPU += sign * n.GPU
 	if g.OnWorker != nil {
-		g.OnWorker[r.Worker.Life] -= sign
+		g.OnWorker[r.Worker.Incarnation] -= sign
 	}
 	if g.Racks != nil {
 		g.Racks[r.Worker.Rack] -= sign
@@ -260,10 +260,10 @@
 	if step.Label != "" && !slices.Contains(r.Worker.Labels, step.Label) {
 		return false
 	}
-	if g.Tickets != nil && g.Tickets[r.Worker.Life] == "" {
+	if g.Tickets != nil && g.Tickets[r.Worker.Incarnation] == "" {
 		return false
 	}
-	if step.PerWorker > 0 && g.OnWorker[r.Worker.Life] >= step.PerWorker {
+	if step.PerWorker > 0 && g.OnWorker[r.Worker.Incarnation] >= step.PerWorker {
 		return false
 	}
 	return true
@@ -277,7 +277,7 @@
 	}
 	n := fitCount(charge(step), r.Free)
 	if step.PerWorker > 0 {
-		n = min(n, step.PerWorker-g.OnWorker[r.Worker.Life])
+		n = min(n, step.PerWorker-g.OnWorker[r.Worker.Incarnation])
 	}
 	return max(n, 0)
 }
@@ -316,7 +316,7 @@
 	// togetherWeight concentrates lasting tasks on few workers, so that the other instances are free to move.
 	// sameWeight spreads the tasks of one step over workers, and rackWeight over racks.
 	togetherWeight = 1
-	// dueWeight keeps lasting tasks off instances that are due for upkeep, where they would have to move again.
+	// dueWeight keeps lasting tasks off instances that are due for maintenance, where they would have to move again.
 	dueWeight  = 1.5
 	sameWeight = 0.8
 	rackWeight = 0.2
@@ -329,7 +329,7 @@
 	if step.Rack != "" && slices.Contains(r.Worker.Labels, step.Rack) {
 		s += nearWeight
 	}
-	if t.Avoid == r.Worker.Life {
+	if t.Avoid == r.Worker.Incarnation {
 		s -= avoidWeight
 	}
 	if r.Cold {
@@ -338,11 +338,11 @@
 	if !step.Lasting {
 		return s
 	}
-	s -= sameWeight*float64(g.OnWorker[r.Worker.Life]) + rackWeight*float64(g.Racks[r.Worker.Rack])
+	s -= sameWeight*float64(g.OnWorker[r.Worker.Incarnation]) + rackWeight*float64(g.Racks[r.Worker.Rack])
 	if r.Serving+r.Filling > 0 {
 		s += togetherWeight
 	}
-	if r.UpkeepDue {
+	if r.MaintenanceDue {
 		s -= dueWeight
 	}
 	if step.Fills {
--- a/place/tasks_test.go
+++ b/place/tasks_test.go
@@ -16,8 +16,8 @@
 	"rackstep.dev/work"
 )
 
-func candidateOf(life, rack string, milliCPU, free int) *Candidate {
-	w := &work.Worker{Life: life, Labels: []string{"a", rack}, Rack: rack, Capacity: job.Need{MilliCPU: milliCPU, MemoryMB: 10000}}
+func candidateOf(incarnation, rack string, milliCPU, free int) *Candidate {
+	w := &work.Worker{Incarnation: incarnation, Labels: []string{"a", rack}, Rack: rack, Capacity: job.Need{MilliCPU: milliCPU, MemoryMB: 10000}}
 	return &Candidate{Worker: w, Free: job.Need{MilliCPU: free, MemoryMB: 10000}}
 }
 
@@ -30,11 +30,11 @@
 	return g
 }
 
-// placed returns the life of the worker that each task was assigned to.
+// placed returns the incarnation of the worker that each task was assigned to.
 func placed(groups []*Group, candidates []*Candidate) map[string]string {
 	out := make(map[string]string)
 	for _, x := range Tasks(groups, candidates, nil) {
-		out[x.Task.Name()] = x.Candidate.Worker.Life
+		out[x.Task.Name()] = x.Candidate.Worker.Incarnation
 	}
 	return out
 }
@@ -126,8 +126,8 @@
 		Order(groups)
 		count := make(map[string]int)
 		for _, x := range Tasks(groups, candidates, nil) {
-			count[fmt.Sprint(x.Task.Job.Spec.ID, x.Candidate.Worker.Life)]++
-			if most := x.Task.Spec().PerWorker; most > 0 && count[fmt.Sprint(x.Task.Job.Spec.ID, x.Candidate.Worker.Life)] > most {
+			count[fmt.Sprint(x.Task.Job.Spec.ID, x.Candidate.Worker.Incarnation)]++
+			if most := x.Task.Spec().PerWorker; most > 0 && count[fmt.Sprint(x.Task.Job.Spec.ID, x.Candidate.Worker.Incarnation)] > most {
 				r.Fatal("a worker has more tasks of a step than the step allows")
 			}
 		}
@@ -213,10 +213,10 @@
 	g := groupOf("a", job.Step{Count: 1, Need: cpu(1000)})
 	g.Tasks[0].Avoid = "full"
 	candidates := []*Candidate{candidateOf("full", "r", 4000, 1000), candidateOf("empty", "r", 4000, 4000)}
-	c.Assert(Tasks([]*Group{g}, candidates, nil)[0].Candidate.Worker.Life, quicktest.Equals, "empty")
+	c.Assert(Tasks([]*Group{g}, candidates, nil)[0].Candidate.Worker.Incarnation, quicktest.Equals, "empty")
 	g = groupOf("a", job.Step{Count: 1, Need: cpu(1000)})
 	g.Tasks[0].Avoid = "full"
-	c.Assert(Tasks([]*Group{g}, candidates[:1], nil)[0].Candidate.Worker.Life, quicktest.Equals, "full")
+	c.Assert(Tasks([]*Group{g}, candidates[:1], nil)[0].Candidate.Worker.Incarnation, quicktest.Equals, "full")
 }
 
 // benchTasks measures the placement of a backlog of jobs on a pool.
@@ -259,8 +259,8 @@
 			candidates := []*Candidate{candidateOf("warm1", "r1", 4000, 4000), candidateOf("warm2", "r2", 4000, 4000), candidateOf("cold1", "r3", 4000, 2000), candidateOf("cold2", "r4", 4000, 4000)}
 			candidates[2].Cold, candidates[3].Cold = true, true
 			warm, cold := 0, 0
-			for _, life := range placed([]*Group{groupOf("j", x.step)}, candidates) {
-				if strings.HasPrefix(life, "cold") {
+			for _, incarnation := range placed([]*Group{groupOf("j", x.step)}, candidates) {
+				if strings.HasPrefix(incarnation, "cold") {
 					cold++
 				} else {
 					warm++
--- a/pool/advice.go
+++ b/pool/advice.go
@@ -45,11 +45,11 @@
 		c.tickets[name] = s
 	}
 	g.Tickets = make(map[string]string)
-	for life, t := range s.tickets {
-		if w := c.workers[life]; w == nil || t.Until.Before(now.Add(minTicketValidity)) {
-			delete(s.tickets, life)
+	for incarnation, t := range s.tickets {
+		if w := c.workers[incarnation]; w == nil || t.Until.Before(now.Add(minTicketValidity)) {
+			delete(s.tickets, incarnation)
 		} else if c.hasCapacity(w, g, now) {
-			g.Tickets[life] = t.Ticket
+			g.Tickets[incarnation] = t.Ticket
 		}
 	}
 	if len(g.Tickets) == 0 {
@@ -72,7 +72,7 @@
 	}
 	var candidates []*worker
 	for _, w := range c.workers {
-		if at, wasRefused := s.refused[w.Life]; w.Pool == q.Pool && c.hasCapacity(w, g, now) && (!wasRefused || now.Sub(at) > refusalTTL) {
+		if at, wasRefused := s.refused[w.Incarnation]; w.Pool == q.Pool && c.hasCapacity(w, g, now) && (!wasRefused || now.Sub(at) > refusalTTL) {
 			candidates = append(candidates, w)
 		}
 	}
@@ -80,26 +80,26 @@
 		return
 	}
 	slices.SortFunc(candidates, func(a, b *worker) int { return cmp.Compare(b.room.Free.MilliCPU, a.room.Free.MilliCPU) })
-	lives := make([]string, 0, maxAdviceCandidates)
+	incarnations := make([]string, 0, maxAdviceCandidates)
 	for _, w := range candidates[:min(maxAdviceCandidates, len(candidates))] {
-		lives = append(lives, w.Life)
+		incarnations = append(incarnations, w.Incarnation)
 	}
 	c.advising = true
-	timeout := q.Advice.Decide + time.Duration(len(lives))*q.Advice.Each + adviseMargin
+	timeout := q.Advice.Decide + time.Duration(len(incarnations))*q.Advice.Each + adviseMargin
 	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, timeout)
 		defer cancel()
-		tickets, err := c.Advise(ctx, name, lives)
-		c.post(adviceReceived{step: name, lives: lives, tickets: tickets, err: err})
+		tickets, err := c.Advise(ctx, name, incarnations)
+		c.post(adviceReceived{step: name, incarnations: incarnations, tickets: tickets, err: err})
 	})
 }
 
 // adviceReceived is the response of the advice service.
 type adviceReceived struct {
-	step    string
-	lives   []string
-	tickets []Ticket
-	err     error
+	step         string
+	incarnations []string
+	tickets      []Ticket
+	err          error
 }
 
 func (m adviceReceived) apply(c *session) {
@@ -110,12 +110,12 @@
 		return
 	}
 	now := c.now()
-	for _, life := range m.lives {
-		s.refused[life] = now
+	for _, incarnation := range m.incarnations {
+		s.refused[incarnation] = now
 	}
 	for _, t := range m.tickets {
-		delete(s.refused, t.Life)
-		s.tickets[t.Life] = t
+		delete(s.refused, t.Incarnation)
+		s.tickets[t.Incarnation] = t
 	}
 	for _, p := range c.pools {
 		p.dirty = true
@@ -123,9 +123,9 @@
 }
 
 // forgetTicket removes a ticket that a worker rejected.
-func (c *session) forgetTicket(t *job.Task, life string) {
+func (c *session) forgetTicket(t *job.Task, incarnation string) {
 	if s := c.tickets[stepName(t)]; s != nil {
-		delete(s.tickets, life)
+		delete(s.tickets, incarnation)
 	}
 }
 
--- a/pool/backoff_test.go
+++ b/pool/backoff_test.go
@@ -47,8 +47,8 @@
 func testRefusedEverywhere(t *testing.T, why work.Refusal) {
 	c := quicktest.New(t)
 	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1", "w2", "w3", "w4")
-	for life := range b.workers {
-		b.report(life, 10, nil)
+	for incarnation := range b.workers {
+		b.report(incarnation, 10, nil)
 	}
 	var refused, others atomic.Int64
 	b.Calls.Start = func(_ context.Context, _ *work.Worker, o work.Start) (work.Answer, error) {
@@ -84,16 +84,16 @@
 	workers := maps.Clone(b.workers)
 	var mu sync.Mutex // starts run concurrently
 	b.Calls.Start = func(_ context.Context, x *work.Worker, o work.Start) (work.Answer, error) {
-		life := x.Life
+		incarnation := x.Incarnation
 		mu.Lock()
 		defer mu.Unlock()
 		time.AfterFunc(20*time.Millisecond, func() {
 			if o.Task == taskName {
 				mu.Lock()
-				ends[life]++
-				n := ends[life]
+				ends[incarnation]++
+				n := ends[incarnation]
 				mu.Unlock()
-				b.post(holdResult{worker: workers[life], asked: time.Now(), report: work.Report{
+				b.post(holdResult{worker: workers[incarnation], asked: time.Now(), report: work.Report{
 					Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.EndedRun{{Seq: n, Task: o.Task, Run: o.Run, Outcome: work.Failed}}}})
 			}
 		})
@@ -124,9 +124,9 @@
 	workers := maps.Clone(b.workers)
 	b.Calls.Start = func(_ context.Context, x *work.Worker, o work.Start) (work.Answer, error) {
 		starts++
-		n, life := starts, x.Life
+		n, incarnation := starts, x.Incarnation
 		time.AfterFunc(10*time.Millisecond, func() {
-			b.post(holdResult{worker: workers[life], asked: time.Now(), report: work.Report{
+			b.post(holdResult{worker: workers[incarnation], asked: time.Now(), report: work.Report{
 				Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.EndedRun{{Seq: n, Task: o.Task, Run: o.Run, Outcome: work.Other}}}})
 		})
 		return work.Answer{Clock: work.Clock(100 * n)}, nil
--- a/pool/capacity_test.go
+++ b/pool/capacity_test.go
@@ -18,8 +18,8 @@
 )
 
 // setCapacity has the list show that a worker has that much CPU.
-func (b *fixture) setCapacity(life string, milliCPU int) {
-	w := b.workers[life]
+func (b *fixture) setCapacity(incarnation string, milliCPU int) {
+	w := b.workers[incarnation]
 	row := w.Worker
 	row.Capacity.MilliCPU = milliCPU
 	b.updateWorker(w, row)
--- a/pool/commit.go
+++ b/pool/commit.go
@@ -22,10 +22,10 @@
 
 // commitBatch describes the contents of a batch that is being stored.
 type commitBatch struct {
-	versions map[*job.Job]int64
-	lives    []string      // may be given work once the batch is stored
-	waves    map[int64]int // the versions of waves in the batch
-	starts   []plannedStart
+	versions     map[*job.Job]int64
+	incarnations []string      // may be given work once the batch is stored
+	waves        map[int64]int // the versions of waves in the batch
+	starts       []plannedStart
 	// aside holds the records that the store rejects for good. The storing goroutine sets it before answeredAt.
 	aside []keep.RejectedRecord
 	// answeredAt is when the store accepted the batch, or nil before that. The storing goroutine sets it.
@@ -37,12 +37,12 @@
 	if c.committing {
 		return
 	}
-	if c.dirtyJobs.Empty() && len(c.forgottenJobs) == 0 && !c.idConflictsDirty && len(c.idConflictsDropped) == 0 && c.dirtyLives.Empty() && !c.wavesDirty() {
+	if c.dirtyJobs.Empty() && len(c.forgottenJobs) == 0 && !c.idConflictsDirty && len(c.idConflictsDropped) == 0 && c.dirtyIncarnations.Empty() && !c.wavesDirty() {
 		return
 	}
 	done := &commitBatch{versions: make(map[*job.Job]int64), waves: make(map[int64]int)}
 	var records []feed.KeyedRecord
-	records = c.appendLifeRecords(done, records)
+	records = c.appendIncarnationRecords(done, records)
 	records = c.storeWaves(done, records)
 	records = c.appendStats(c.now(), records)
 	records = c.appendIDConflicts(records)
@@ -82,7 +82,7 @@
 		}
 		records = append(records, feed.KeyedRecord{Key: stateKey + j.Spec.ID, Value: value})
 		size += len(stateKey) + len(j.Spec.ID) + len(value)
-		side, err := c.encodeSideRecords(j) // stored before a task that may have ended its worker's life starts again
+		side, err := c.encodeSideRecords(j) // stored before a task that may have ended its worker's incarnation starts again
 		if err != nil {
 			c.emit(event.RecordRefused, event.Subject{Job: j.Spec.ID}, "side records not kept: %v", err)
 			refused = append(refused, j)
@@ -100,7 +100,7 @@
 // sidePrefixes are the key prefixes of a job's side records, which are stored separately from its state.
 var sidePrefixes = [...]string{lostKey, lateKey}
 
-// encodeSideRecords returns the side records of a job: the runs that were lost with their worker's life, and the starts that may be carried out late. It
+// encodeSideRecords returns the side records of a job: the runs that were lost with their worker's incarnation, and the starts that may be carried out late. It
 // includes deletions of stored records that are no longer needed.
 func (c *session) encodeSideRecords(j *job.Job) ([]feed.KeyedRecord, error) {
 	lost, late := j.StoredLost(), j.StoredLate(c.now(), wallClock())
@@ -207,7 +207,7 @@
 	for w := range c.unacked {
 		c.ackStored(w)
 	}
-	c.markLivesStored(m.lives)
+	c.markIncarnationsStored(m.incarnations)
 	c.storedStarts = append(c.storedStarts, m.starts...)
 	c.sendStored(c.now())
 	for n, version := range m.waves {
--- a/pool/connlimit_test.go
+++ b/pool/connlimit_test.go
@@ -28,12 +28,12 @@
 func (p *connectionPool) calls(c *work.Calls) {
 	c.Hold = func(ctx context.Context, w *work.Worker, o work.Hold) (work.Report, error) {
 		p.mu.Lock()
-		if o.Idle && !p.open[w.Life] && len(p.open) >= p.limit {
+		if o.Idle && !p.open[w.Incarnation] && len(p.open) >= p.limit {
 			p.mu.Unlock()
 			return work.Report{}, work.ErrTooManyConnections
 		}
-		p.open[w.Life] = true
-		p.holds[w.Life]++
+		p.open[w.Incarnation] = true
+		p.holds[w.Incarnation]++
 		p.mu.Unlock()
 		sleep(ctx, o.Wait+time.Millisecond)
 		return work.Report{Answer: work.Answer{Clock: 10}}, nil
@@ -46,7 +46,7 @@
 	c.CloseIdle = func(w *work.Worker) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.open, w.Life)
+		delete(p.open, w.Incarnation)
 	}
 }
 
@@ -56,11 +56,11 @@
 func TestALeaderWithFewConnectionsHearsAllItsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		var lives []string
+		var incarnations []string
 		for i := range 60 {
-			lives = append(lives, fmt.Sprint("w", i))
+			incarnations = append(incarnations, fmt.Sprint("w", i))
 		}
-		b := newFixture(c, nil, lives...)
+		b := newFixture(c, nil, incarnations...)
 		f := &connectionPool{limit: 20, open: make(map[string]bool), holds: make(map[string]int)}
 		f.calls(&b.Calls)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -92,9 +92,9 @@
 		processFor(3 * time.Second)
 		idle := ""
 		f.mu.Lock()
-		for life := range b.workers {
-			if !f.open[life] {
-				idle = life
+		for incarnation := range b.workers {
+			if !f.open[incarnation] {
+				idle = incarnation
 			}
 		}
 		before := f.holds[idle]
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -16,10 +16,10 @@
 	"rackstep.dev/pool"
 )
 
-// Guards against a task that crashes its worker on start and is started again without limit. The end of a life was treated like an expired lease and counted
+// Guards against a task that crashes its worker on start and is started again without limit. The end of an incarnation was treated like an expired lease and counted
 // neither for the task nor in the stored job, so every restart, under this leader or the next, took down the next worker and the 15 to 26 other runs on
-// it. A pool of 11 instances saw 732 lives end in 105 s: a quarter of its queue's jobs were on time and its lasting tasks were down most of the day. At 19 of
-// 19 ends of lives the youngest run was 3 to 26 ms old. Before the fix this test started such a task 12 to 55 times in a minute.
+// it. A pool of 11 instances saw 732 incarnations end in 105 s: a quarter of its queue's jobs were on time and its lasting tasks were down most of the day. At 19 of
+// 19 ends of incarnations the youngest run was 3 to 26 ms old. Before the fix this test started such a task 12 to 55 times in a minute.
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, x := range [...]struct {
 		name string
@@ -101,7 +101,7 @@
 }
 
 // checkStates checks that the culprits are shown as failed and all other jobs without lasting tasks as succeeded. It returns the number of other jobs that were
-// given up because at least two lives had ended under one task. The users accept these, since a task that repeatedly runs beside culprits can't be told from one.
+// given up because at least two incarnations had ended under one task. The users accept these, since a task that repeatedly runs beside culprits can't be told from one.
 func (h *history) checkStates(culprits map[string]bool) int {
 	givenUp := 0
 	for id, spec := range h.specs {
@@ -125,7 +125,7 @@
 	return givenUp
 }
 
-// lostTwice reports whether two lives have ended under one task of the job.
+// lostTwice reports whether two incarnations have ended under one task of the job.
 func (h *history) lostTwice(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -206,7 +206,7 @@
 }
 
 // excludeGivenUp leaves out of the check for missing jobs those without a culprit that were given up, or whose lasting task may be parked, and returns
-// their number. In a pool of twelve instances most of which are down at a time, some tasks have four lives end under them or just after they were done.
+// their number. In a pool of twelve instances most of which are down at a time, some tasks have four incarnations end under them or just after they were done.
 func (h *history) excludeGivenUp() int {
 	count := 0
 	for id, spec := range h.specs {
--- a/pool/demand.go
+++ b/pool/demand.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"rackstep.dev/job"
+	"rackstep.dev/maintenance"
 	"rackstep.dev/place"
-	"rackstep.dev/upkeep"
 )
 
 // Parameters of pool sizing. The trials behind the values are recorded in docs/design/pools.md.
@@ -19,10 +19,10 @@
 	parkAfter = 2 * time.Second
 	// unknownLoadGrace is the time after a leader's start during which pools whose load is not known yet keep their instances.
 	unknownLoadGrace = 30 * time.Second
-	// unknownMargin and busyPeriodMargin size the reserve of a pool for its next busy period. A pool whose busy periods are not known keeps
-	// unknownMargin times the mean usage of the other pools; busyPeriodMargin is added to the usage of the last busy period.
-	unknownMargin    = 1.5
-	busyPeriodMargin = 0.15
+	// unknownMargin and burstMargin size the reserve of a pool for its next burst. A pool whose bursts are not known keeps
+	// unknownMargin times the mean usage of the other pools; burstMargin is added to the usage of the last burst.
+	unknownMargin = 1.5
+	burstMargin   = 0.15
 	// spareShare is added to the need of a pool, because tasks do not fill instances completely.
 	spareShare = 0.08
 	// spareInstances is the minimum number of instances a pool keeps idle for work to come.
@@ -41,7 +41,7 @@
 	meanRemainingShare = 0.5
 	// defaultRunSeconds is the run time assumed before any run has ended.
 	defaultRunSeconds = 1.0
-	// preparedShare is the share of the need of an expected busy period that is prepared in advance. The rest arrives in time without preparation.
+	// preparedShare is the share of the need of an expected burst that is prepared in advance. The rest arrives in time without preparation.
 	preparedShare = 0.75
 )
 
@@ -59,7 +59,7 @@
 
 // load describes the work of a pool, in units of instances.
 type load struct {
-	// lasting is the capacity used by long-running tasks, running the capacity used by all other tasks.
+	// lasting is the capacity used by lasting tasks, running the capacity used by all other tasks.
 	lasting, running float64
 	// waitingWork is the work of the waiting tasks in instance-seconds. waitingCapacity is the capacity that they would use if all of them ran at
 	// once.
@@ -221,10 +221,10 @@
 }
 
 // setTargets sets the number of instances that the pool wants now, and the numbers that it keeps because of its recent need.
-func (c *session) setTargets(row *upkeep.Pool, now time.Time) {
+func (c *session) setTargets(row *maintenance.Pool, now time.Time) {
 	p := c.pool(row.Name)
 	instances := c.demand(p, now)
-	c.turns.Observe(p.name, upkeep.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
+	c.turns.Observe(p.name, maintenance.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
 	p.recentNeeds = append(p.recentNeeds, needSample{at: now, instances: max(instances, p.load.lasting+p.load.running)})
 	for len(p.recentNeeds) > 0 && now.Sub(p.recentNeeds[0].at) > parkAfter {
 		p.recentNeeds = p.recentNeeds[1:]
@@ -244,12 +244,12 @@
 	}
 }
 
-// retainForBusyPeriods lets each pool keep the instances that its last busy period used, if there are enough instances for the busy periods of all
-// pools at once. Then no pool has to wait for instances of another one, and instances need not move with the load. A pool whose busy periods are not
+// retainForBursts lets each pool keep the instances that its last burst used, if there are enough instances for the bursts of all
+// pools at once. Then no pool has to wait for instances of another one, and instances need not move with the load. A pool whose bursts are not
 // known yet keeps unknownMargin times the mean usage of the others.
 //
 // With fewer instances this function changes nothing, and setTargets and setExpected move the instances with the load.
-func (c *session) retainForBusyPeriods(rows map[string]*upkeep.Pool, now time.Time) {
+func (c *session) retainForBursts(rows map[string]*maintenance.Pool, now time.Time) {
 	keep := make(map[string]float64, len(rows))
 	needed, have := 0.0, 0
 	for name, row := range rows {
@@ -262,7 +262,7 @@
 			if !c.turns.Active(name) {
 				return
 			}
-			needed += max(float64(row.Have), row.Want) // no pool has completed a busy period yet, so the pool keeps what it has
+			needed += max(float64(row.Have), row.Want) // no pool has completed a burst yet, so the pool keeps what it has
 			continue
 		}
 		if !known {
@@ -270,7 +270,7 @@
 		}
 		lasting := c.pool(name).load.lasting
 		needed += (lasting+need)*(1+spareShare) + spareInstances
-		keep[name] = (lasting+used*(1+busyPeriodMargin))*(1+spareShare) + spareInstances
+		keep[name] = (lasting+used*(1+burstMargin))*(1+spareShare) + spareInstances
 	}
 	if needed > float64(have) {
 		return
@@ -285,7 +285,7 @@
 }
 
 // setExpected sets the future need of the pools that are expected to become busy next.
-func (c *session) setExpected(rows map[string]*upkeep.Pool, now time.Time) {
+func (c *session) setExpected(rows map[string]*maintenance.Pool, now time.Time) {
 	for _, e := range c.turns.Next(c.Bounds().Move+2*moveOverhead, now) {
 		if row := rows[e.Pool]; row != nil {
 			row.SoonNeed = c.pool(e.Pool).load.lasting + preparedShare*e.Need
@@ -306,7 +306,7 @@
 
 // setShortages sets how many instances each pool lacks for steps that can't use just any free capacity: steps that require a label, and steps with a
 // limit on tasks per worker.
-func (c *session) setShortages(rows map[string]*upkeep.Pool, instances []upkeep.Instance, now time.Time) {
+func (c *session) setShortages(rows map[string]*maintenance.Pool, instances []maintenance.Instance, now time.Time) {
 	for name, row := range rows {
 		lacks := c.shortages(c.pool(name), now)
 		if len(lacks) == 0 {
@@ -316,7 +316,7 @@
 			if x.Pool != name || c.moves[x.Name] == nil {
 				continue
 			}
-			lacks[upkeep.AnyLabel]-- // counts as available: it is moving to the pool
+			lacks[maintenance.AnyLabel]-- // counts as available: it is moving to the pool
 			for _, l := range x.Labels {
 				lacks[l]--
 			}
@@ -351,7 +351,7 @@
 }
 
 // countStranded requests at least one instance with the required label if a worker that must be emptied, for maintenance, a move or a drain, has a
-// long-running task that fits on no other worker.
+// lasting task that fits on no other worker.
 func (c *session) countStranded(p *poolRow, lacks map[string]int, now time.Time) {
 	for _, w := range c.workers {
 		if w.Pool != p.name || !(w.beingEmptied || w.drained) || w.room.Serving+w.room.Filling == 0 {
--- a/pool/demand_test.go
+++ b/pool/demand_test.go
@@ -11,7 +11,7 @@
 	"github.com/frankban/quicktest"
 
 	"rackstep.dev/job"
-	"rackstep.dev/upkeep"
+	"rackstep.dev/maintenance"
 	"rackstep.dev/work"
 )
 
@@ -92,22 +92,22 @@
 	c.Assert(b.availableSeconds("moved", now), quicktest.Equals, 1.0)
 }
 
-// TestWhatLastsWaitsForAPlaceBeforeAnUpkeep guards against a long-running task being stopped for maintenance while no other worker can take it. The
+// TestWhatLastsWaitsForAPlaceBeforeAMaintenance guards against a lasting task being stopped for maintenance while no other worker can take it. The
 // missing instance is requested, and the task is stopped once another worker fits.
-func TestWhatLastsWaitsForAPlaceBeforeAnUpkeep(t *testing.T) {
+func TestWhatLastsWaitsForAPlaceBeforeAMaintenance(t *testing.T) {
 	c := quicktest.New(t)
 	j := jobWithTasks(1)
 	j.Spec.Steps[0] = job.Step{Count: 1, Need: job.Need{MilliCPU: 1000}, Lasting: true, MayMiss: 1, Label: "red"}
 	b := newFixture(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
 	b.soleLeaderFrom = time.Now().Add(-time.Minute) // the stops that an earlier leader ordered are complete
 	b.workers["w1"].Labels = []string{"red"}
-	for _, life := range []string{"w1", "w2"} {
-		b.report(life, 10, nil)
+	for _, incarnation := range []string{"w1", "w2"} {
+		b.report(incarnation, 10, nil)
 	}
 	c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 	b.report("w1", 20, []work.RunStatus{{Task: taskName, Run: b.task(0).Run, Percent: fullPercent}})
 	now := time.Now()
-	s := &maintenanceStep{life: "w1", since: now}
+	s := &maintenanceStep{incarnation: "w1", since: now}
 	c.Assert(b.tryEmpty("m-w1", s, now), quicktest.IsFalse)
 	c.Assert(b.task(0).Stopping, quicktest.IsFalse)
 	c.Assert(b.shortages(b.pool("p"), now)["red"], quicktest.Equals, 1)
@@ -137,8 +137,8 @@
 			j.Spec.Steps = []job.Step{test.step}
 			b := newFixture(c, []*job.Job{job.New(j.Spec, time.Now())}, "w1", "w2")
 			b.workers["w1"].Labels = []string{"red"}
-			for _, life := range []string{"w1", "w2"} {
-				b.report(life, 10, nil)
+			for _, incarnation := range []string{"w1", "w2"} {
+				b.report(incarnation, 10, nil)
 			}
 			b.countLoads()
 			c.Assert(fmt.Sprint(b.shortages(b.pool("p"), time.Now())), quicktest.Equals, "map[]") // no shortage before stuckAfter
@@ -148,14 +148,14 @@
 }
 
 // TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem guards against instances moving back and forth between pools although there are enough for
-// the busy periods of all pools. With fewer instances the targets must stay as they were.
+// the bursts of all pools. With fewer instances the targets must stay as they were.
 func TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem(t *testing.T) {
 	const turn = 100.0
-	keep, need := math.Ceil(turn*(1+busyPeriodMargin)*(1+spareShare)+spareInstances), math.Ceil(2*turn*(1+spareShare)+spareInstances)
+	keep, need := math.Ceil(turn*(1+burstMargin)*(1+spareShare)+spareInstances), math.Ceil(2*turn*(1+spareShare)+spareInstances)
 	for _, test := range [...]struct {
 		name string
 		have int
-		// over is the number of pools, of three, whose first busy period has ended.
+		// over is the number of pools, of three, whose first burst has ended.
 		over int
 		idle float64
 		want float64
@@ -164,22 +164,22 @@
 		{"just enough", int(need), 3, 2, keep},
 		{"less than all need", int(need) - 1, 3, 2, 2},
 		{"what it lately needed goes before", 1000, 3, 300, 300},
-		{"a turn that is not known yet", 1000, 1, 0, math.Ceil(unknownMargin*turn*(1+busyPeriodMargin)*(1+spareShare) + spareInstances)},
+		{"a turn that is not known yet", 1000, 1, 0, math.Ceil(unknownMargin*turn*(1+burstMargin)*(1+spareShare) + spareInstances)},
 		{"no turn is over", 1000, 0, 5, 5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newFixture(quicktest.New(t), nil)
-			rows := make(map[string]*upkeep.Pool)
-			b.turns.Pools = make(map[string]*upkeep.Burst)
+			rows := make(map[string]*maintenance.Pool)
+			b.turns.Pools = make(map[string]*maintenance.Burst)
 			for i := range 3 {
 				name := fmt.Sprint("p", i)
-				rows[name] = &upkeep.Pool{Name: name, Have: test.have, LongTermNeed: test.idle}
-				b.turns.Pools[name] = new(upkeep.Burst)
+				rows[name] = &maintenance.Pool{Name: name, Have: test.have, LongTermNeed: test.idle}
+				b.turns.Pools[name] = new(maintenance.Burst)
 				if i < test.over {
-					*b.turns.Pools[name] = upkeep.Burst{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
+					*b.turns.Pools[name] = maintenance.Burst{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
 				}
 			}
-			b.retainForBusyPeriods(rows, time.Now())
+			b.retainForBursts(rows, time.Now())
 			b.c.Assert(math.Ceil(rows["p2"].LongTermNeed), quicktest.Equals, test.want)
 		})
 	}
--- a/pool/disruption_test.go
+++ b/pool/disruption_test.go
@@ -19,12 +19,12 @@
 	j := jobWithTasks(2)
 	j.Spec.Steps[0].Lasting, j.Spec.Steps[0].MayMiss = true, 1
 	j = job.New(j.Spec, time.Now())
-	for i, life := range []string{"w1", "w2"} {
-		j.Tasks[i].Phase, j.Tasks[i].Run, j.Tasks[i].Worker = job.Active, 5, life
+	for i, incarnation := range []string{"w1", "w2"} {
+		j.Tasks[i].Phase, j.Tasks[i].Run, j.Tasks[i].Worker = job.Active, 5, incarnation
 	}
 	b := newFixture(c, []*job.Job{j}, "w1", "w2")
-	for i, life := range []string{"w1", "w2"} {
-		b.report(life, 10, []work.RunStatus{{Task: b.task(i).Name(), Run: 5, Percent: fullPercent}})
+	for i, incarnation := range []string{"w1", "w2"} {
+		b.report(incarnation, 10, []work.RunStatus{{Task: b.task(i).Name(), Run: 5, Percent: fullPercent}})
 	}
 	now := time.Now()
 	c.Assert(b.canDisrupt(b.task(0), now), quicktest.IsFalse, quicktest.Commentf("a stop may still be in progress"))
--- a/pool/drain.go
+++ b/pool/drain.go
@@ -66,11 +66,11 @@
 // drainRemainder counts what is left in a drained data centre.
 type drainRemainder struct {
 	workers, runs, lasting int
-	// held counts the long-running tasks that can't be moved yet, by reason.
+	// held counts the lasting tasks that can't be moved yet, by reason.
 	held map[string]int
 }
 
-// Reasons why a long-running task can't be moved out of a drained data centre yet. They are logged.
+// Reasons why a lasting task can't be moved out of a drained data centre yet. They are logged.
 const (
 	heldByOthersAway = "others-of-its-step-are-away"
 	heldByNoPlace    = "no-place-elsewhere"
@@ -86,7 +86,7 @@
 	return b.String()
 }
 
-// evacuateDrained moves long-running tasks out of the drained data centres, as fast as their steps may miss tasks and other workers have capacity for
+// evacuateDrained moves lasting tasks out of the drained data centres, as fast as their steps may miss tasks and other workers have capacity for
 // them. All other tasks are left to end. It logs the remainder when it changes.
 func (c *session) evacuateDrained(now time.Time) {
 	if len(c.drains) == 0 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// evacuateTask stops a long-running task so that it starts elsewhere, or counts the reason why it can't be stopped yet.
+// evacuateTask stops a lasting task so that it starts elsewhere, or counts the reason why it can't be stopped yet.
 func (c *session) evacuateTask(w *worker, t *job.Task, l *drainRemainder, now time.Time) {
 	switch {
 	case t.Stopping || !w.silentSince.IsZero():
--- a/pool/drain_test.go
+++ b/pool/drain_test.go
@@ -18,17 +18,17 @@
 )
 
 // newDrainBench returns a leader whose workers are in the data centre named by their first letter.
-func newDrainBench(c *quicktest.C, jobs []*job.Job, lives ...string) *fixture {
-	b := newFixture(c, jobs, lives...)
-	b.ParseWorker = func(life string, _ []byte) (work.Worker, error) {
-		return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", DataCentre: life[:1], Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+func newDrainBench(c *quicktest.C, jobs []*job.Job, incarnations ...string) *fixture {
+	b := newFixture(c, jobs, incarnations...)
+	b.ParseWorker = func(incarnation string, _ []byte) (work.Worker, error) {
+		return work.Worker{Incarnation: incarnation, Machine: "m-" + incarnation, Pool: "p", DataCentre: incarnation[:1], Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 	for _, w := range b.workers {
-		w.DataCentre = w.Life[:1]
-		b.machines[w.Machine] = Machine{Name: w.Machine, Pool: "p", ID: w.Life, DataCentre: w.DataCentre}
+		w.DataCentre = w.Incarnation[:1]
+		b.machines[w.Machine] = Machine{Name: w.Machine, Pool: "p", ID: w.Incarnation, DataCentre: w.DataCentre}
 	}
-	for _, life := range lives {
-		b.report(life, 10, nil)
+	for _, incarnation := range incarnations {
+		b.report(incarnation, 10, nil)
 	}
 	return b
 }
@@ -100,7 +100,7 @@
 }
 
 // TestLastingTasksLeaveADrainedDataCentreAsFastAsTheyMayBeMissed guards against a drain stopping more tasks of a step than it may miss: four
-// long-running tasks of a step that may miss one have to move.
+// lasting tasks of a step that may miss one have to move.
 func TestLastingTasksLeaveADrainedDataCentreAsFastAsTheyMayBeMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -170,7 +170,7 @@
 	})
 }
 
-// TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre checks that an instance is requested for a long-running task in a drained data centre whose
+// TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre checks that an instance is requested for a lasting task in a drained data centre whose
 // pool has no other instance.
 func TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre(t *testing.T) {
 	c := quicktest.New(t)
--- a/pool/encoding_test.go
+++ b/pool/encoding_test.go
@@ -20,15 +20,15 @@
 	var wave storedWave
 	golden.Fill(&wave)
 	golden.Check(c, "wave", wave, job.Encode, job.Decode)
-	var life keptLife
-	golden.Fill(&life)
-	golden.Check(c, "life", life, job.Encode, job.Decode)
-	golden.Check(c, "workers", []keptWorker{{Life: "life", Machine: "machine", Pool: "pool", Address: "address"}}, job.Encode, job.Decode)
+	var incarnation keptIncarnation
+	golden.Fill(&incarnation)
+	golden.Check(c, "life", incarnation, job.Encode, job.Decode)
+	golden.Check(c, "workers", []keptWorker{{Incarnation: "life", Machine: "machine", Pool: "pool", Address: "address"}}, job.Encode, job.Decode)
 }
 
 // The keys of what a leader keeps are read by leaders of other versions.
 func TestStoredKeysStay(t *testing.T) {
 	c := quicktest.New(t)
-	c.Check([]string{stateKey, lostKey, lateKey, waveKey, lifeKey, workersKey, instancesKey, lessonsKey, idConflictKey}, quicktest.DeepEquals,
+	c.Check([]string{stateKey, lostKey, lateKey, waveKey, incarnationKey, workersKey, instancesKey, lessonsKey, idConflictKey}, quicktest.DeepEquals,
 		[]string{"s/", "l/", "o/", "wave/", "w/", "workers", "instances", "lessons", "t/"})
 }
--- a/pool/lives_test.go
+++ b/pool/incarnations_test.go
@@ -16,33 +16,33 @@
 	"rackstep.dev/work"
 )
 
-// newBirthFixture returns a session whose list of workers contains births: the value of an entry is its birth as a
+// newBootIDFixture returns a session whose list of workers contains boot IDs: the value of an entry is its boot ID as a
 // single byte.
-func newBirthFixture(c *quicktest.C, j *job.Job) *fixture {
+func newBootIDFixture(c *quicktest.C, j *job.Job) *fixture {
 	b := newFixture(c, []*job.Job{j})
 	b.ParseWorker = func(id string, value []byte) (work.Worker, error) {
 		if value[0] == 255 {
 			return work.Worker{}, errors.New("invalid entry")
 		}
-		return work.Worker{Birth: work.Birth(value[0]), Machine: "m-" + id, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{BootID: work.BootID(value[0]), Machine: "m-" + id, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 	return b
 }
 
-func (b *fixture) list(id string, birth byte) { b.applyWorkerRecord(id, []byte{birth}) }
+func (b *fixture) list(id string, bootID byte) { b.applyWorkerRecord(id, []byte{bootID}) }
 
-// answerAsOtherLife applies an answer to a call to a life that was given by another life under the same ID.
-func (b *fixture) answerAsOtherLife(life string, birth work.Birth) {
-	holdResult{worker: b.workers[life], asked: time.Now(), report: work.Report{Answer: work.Answer{Refusal: work.OtherLife, Birth: birth}}}.apply(b.session)
+// answerAsOtherIncarnation applies an answer to a call to an incarnation that was given by another incarnation under the same ID.
+func (b *fixture) answerAsOtherIncarnation(incarnation string, bootID work.BootID) {
+	holdResult{worker: b.workers[incarnation], asked: time.Now(), report: work.Report{Answer: work.Answer{Refusal: work.OtherIncarnation, BootID: bootID}}}.apply(b.session)
 }
 
-func TestNothingOfALifeIsBelievedOfTheNextUnderItsID(t *testing.T) {
+func TestNothingOfAnIncarnationIsBelievedOfTheNextUnderItsID(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(3))
+	b := newBootIDFixture(c, jobWithTasks(3))
 	b.list("w", 9)
 	b.report("w@9", 60_000, []work.RunStatus{{Task: taskName, Run: 5}, {Task: "00000000000000a1.0.0.1", Run: 6}}, work.EndedRun{Seq: 40, Task: "00000000000000a1.0.0.2", Run: 4, Outcome: work.Failed})
 	b.workers["w@9"].ack(40)
-	b.answerAsOtherLife("w@9", 4) // an earlier birth, according to its clock
+	b.answerAsOtherIncarnation("w@9", 4) // an earlier boot ID, according to its clock
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
 	next := b.workers["w@4"]
 	c.Assert(next.usable(time.Now()), quicktest.IsFalse, quicktest.Commentf("the life is not listed yet"))
@@ -62,27 +62,27 @@
 	c.Assert(next.usable(time.Now()), quicktest.IsTrue)
 }
 
-// TestAListEndsNoLife reorders list entries of two lives under one ID. A life must end only when the other one
+// TestAListEndsNoIncarnation reorders list entries of two incarnations under one ID. An incarnation must end only when the other one
 // answers.
-func TestAListEndsNoLife(t *testing.T) {
+func TestAListEndsNoIncarnation(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	b.list("w", 9)
 	b.report("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
 	b.list("w", 4)
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@9")
 	b.list("w", 9)
 	c.Assert(b.workers, quicktest.HasLen, 2)
-	b.answerAsOtherLife("w@4", 9) // an earlier life, whose entry was delayed
+	b.answerAsOtherIncarnation("w@4", 9) // an earlier incarnation, whose entry was delayed
 	c.Assert(b.workers, quicktest.HasLen, 1)
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Active)
 	b.applyWorkerRecord("w", nil)
 	c.Assert(b.workers["w@9"].listed, quicktest.IsFalse)
 }
 
-func TestTheFirstAnswerOfALifeEndsTheOneBeforeUnderItsID(t *testing.T) {
+func TestTheFirstAnswerOfAnIncarnationEndsTheOneBeforeUnderItsID(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	b.list("w", 9)
 	b.report("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
 	b.list("w", 4)
@@ -91,16 +91,16 @@
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Waiting)
 }
 
-// TestALifeThatAnswersBeforeItIsListedGetsWork guards against tasks that never start because the record of a life
+// TestAnIncarnationThatAnswersBeforeItIsListedGetsWork guards against tasks that never start because the record of an incarnation
 // that became known through an answer, before the list named it, is not stored.
-func TestALifeThatAnswersBeforeItIsListedGetsWork(t *testing.T) {
+func TestAnIncarnationThatAnswersBeforeItIsListedGetsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBirthFixture(c, jobWithTasks(1))
+		b := newBootIDFixture(c, jobWithTasks(1))
 		b.list("w", 9)
 		b.report("w@9", 50, nil)
 		b.commitAll()
-		b.answerAsOtherLife("w@9", 4)
+		b.answerAsOtherIncarnation("w@9", 4)
 		b.list("w", 4)
 		b.report("w@4", 3, nil)
 		c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("the record of the life is not stored yet"))
@@ -110,9 +110,9 @@
 	})
 }
 
-// TestAnOrderWithoutAnAnswerIsLookedForAtTheNextLife ends a life while a start to it is unanswered. The start may
-// have been carried out there, or the next life may carry it out, because it is addressed to the ID.
-func TestAnOrderWithoutAnAnswerIsLookedForAtTheNextLife(t *testing.T) {
+// TestAnOrderWithoutAnAnswerIsLookedForAtTheNextIncarnation ends an incarnation while a start to it is unanswered. The start may
+// have been carried out there, or the next incarnation may carry it out, because it is addressed to the ID.
+func TestAnOrderWithoutAnAnswerIsLookedForAtTheNextIncarnation(t *testing.T) {
 	for _, x := range [...]struct {
 		name    string
 		running []work.RunStatus
@@ -126,13 +126,13 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
-			b := newBirthFixture(c, jobWithTasks(1))
+			b := newBootIDFixture(c, jobWithTasks(1))
 			b.list("w", 9)
 			b.list("v", 9)
 			b.report("w@9", 50, nil)
 			b.report("v@9", 50, nil)
 			b.runningOn([]time.Duration{100 * time.Millisecond}, "w@9")
-			b.answerAsOtherLife("w@9", 4)
+			b.answerAsOtherIncarnation("w@9", 4)
 			c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 			c.Assert(b.placeAndCount(), quicktest.Equals, 0, quicktest.Commentf("the start may be at the next life"))
 			b.report("w@4", 3, x.running, x.ended...)
@@ -142,11 +142,11 @@
 	}
 }
 
-// TestWhatIsKeptNamesLives loads stored runs of ended lives, of current lives, and of lives recorded without a birth.
-func TestWhatIsKeptNamesLives(t *testing.T) {
+// TestWhatIsKeptNamesIncarnations loads stored runs of ended incarnations, of current incarnations, and of incarnations recorded without a boot ID.
+func TestWhatIsKeptNamesIncarnations(t *testing.T) {
 	for _, x := range [...]struct {
 		name, kept string
-		// known is set if the store has a record of the life.
+		// known is set if the store has a record of the incarnation.
 		known bool
 		lost  int
 	}{
@@ -158,10 +158,10 @@
 			c := quicktest.New(t)
 			j := jobWithTasks(1)
 			j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, x.kept
-			b := newBirthFixture(c, j)
+			b := newBootIDFixture(c, j)
 			state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored())}}
 			if x.known {
-				state.Records = append(state.Records, record(c, workersKey, []keptWorker{{Life: x.kept, Machine: "m-w", Pool: "p", Address: "a"}}))
+				state.Records = append(state.Records, record(c, workersKey, []keptWorker{{Incarnation: x.kept, Machine: "m-w", Pool: "p", Address: "a"}}))
 			}
 			intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 			b.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
@@ -176,45 +176,45 @@
 }
 
 // TestALostRunThatWasHandedOnCountsOnceOverATakeover guards against counting a lost run twice. The order was carried
-// over from a life that never confirmed it, the earlier leader counted that life's end, and the next life ends as
+// over from an incarnation that never confirmed it, the earlier leader counted that incarnation's end, and the next incarnation ends as
 // well.
 func TestALostRunThatWasHandedOnCountsOnceOverATakeover(t *testing.T) {
 	c := quicktest.New(t)
 	j := jobWithTasks(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Starting, 5, "w@9"
-	j.RecordLost(&j.Tasks[0], job.LostRun{Run: 5, Life: "w@4", Suspects: 2})
-	b := newBirthFixture(c, j)
+	j.RecordLost(&j.Tasks[0], job.LostRun{Run: 5, Incarnation: "w@4", Suspects: 2})
+	b := newBootIDFixture(c, j)
 	state := feed.KeyedPage{Records: []feed.KeyedRecord{
 		record(c, stateKey+j.Spec.ID, j.Stored()), record(c, lostKey+j.Spec.ID, j.StoredLost()),
-		record(c, workersKey, []keptWorker{{Life: "w@9", Machine: "m-w", Pool: "p", Address: "a"}}),
+		record(c, workersKey, []keptWorker{{Incarnation: "w@9", Machine: "m-w", Pool: "p", Address: "a"}}),
 	}}
 	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 	b.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
-	b.answerAsOtherLife("w@9", 2)
+	b.answerAsOtherIncarnation("w@9", 2)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@2")
 }
 
-// TestALifeWithoutABirthIsNamedByWhoAnswers loads a run from a record that was written before births existed. Its
-// worker is no longer listed, and the life that answers must get the run.
-func TestALifeWithoutABirthIsNamedByWhoAnswers(t *testing.T) {
+// TestAnIncarnationWithoutABootIDIsNamedByWhoAnswers loads a run from a record that was written before boot IDs existed. Its
+// worker is no longer listed, and the incarnation that answers must get the run.
+func TestAnIncarnationWithoutABootIDIsNamedByWhoAnswers(t *testing.T) {
 	c := quicktest.New(t)
 	j := jobWithTasks(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, "w"
-	b := newBirthFixture(c, j)
-	state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored()), record(c, workersKey, []keptWorker{{Life: "w", Machine: "m-w", Pool: "p", Address: "a"}})}}
+	b := newBootIDFixture(c, j)
+	state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored()), record(c, workersKey, []keptWorker{{Incarnation: "w", Machine: "m-w", Pool: "p", Address: "a"}})}}
 	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 	b.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{})
-	b.answerAsOtherLife("w", 9)
+	b.answerAsOtherIncarnation("w", 9)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
 	b.report("w@9", 3, []work.RunStatus{{Task: taskName, Run: 5}})
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Active)
 }
 
-func TestAnEntryThatLacksItsWorkersBirthIsAnotherWriters(t *testing.T) {
+func TestAnEntryThatLacksItsWorkersBootIDIsAnotherWriters(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	b.list("w", 9)
 	b.report("w@9", 50, nil)
 	b.list("w", 0)
@@ -225,22 +225,22 @@
 	c.Assert(b.workers["w@9"].usable(time.Now()), quicktest.IsTrue)
 }
 
-// TestALifeThatEndsWithoutTheStoresWordWaitsForIt restarts a worker while the store does not confirm the lead. Its
+// TestAnIncarnationThatEndsWithoutTheStoresWordWaitsForIt restarts a worker while the store does not confirm the lead. Its
 // runs must stay until it does, because another leader may know of their ends.
-func TestALifeThatEndsWithoutTheStoresWordWaitsForIt(t *testing.T) {
+func TestAnIncarnationThatEndsWithoutTheStoresWordWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBirthFixture(c, jobWithTasks(1))
+		b := newBootIDFixture(c, jobWithTasks(1))
 		b.list("w", 9)
 		b.report("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
-		var confirmed atomic.Pointer[time.Time] // also read by the holds of the next life
+		var confirmed atomic.Pointer[time.Time] // also read by the holds of the next incarnation
 		confirm := func() { now := time.Now(); confirmed.Store(&now) }
 		confirm()
 		b.ConfirmedAt = func() time.Time { return *confirmed.Load() }
 		time.Sleep(5 * time.Second)
-		b.answerAsOtherLife("w@9", 4)
+		b.answerAsOtherIncarnation("w@9", 4)
 		token := b.workers["w@4"].token.Load()
-		b.answerAsOtherLife("w@9", 4)
+		b.answerAsOtherIncarnation("w@9", 4)
 		c.Assert(b.workers["w@4"].token.Load(), quicktest.Equals, token, quicktest.Commentf("the token rose again, so no answer of the next life would count"))
 		c.Assert(b.task(0).Phase, quicktest.Equals, job.Active, quicktest.Commentf("another leader may have learned of its end"))
 		c.Assert(b.workers["w@9"].usable(time.Now()), quicktest.IsFalse)
@@ -255,7 +255,7 @@
 func TestALeaseThatIsOverDoesNotSettleAnOrderWithoutAnAnswer(t *testing.T) {
 	for _, listed := range [...]bool{true, false} {
 		c := quicktest.New(t)
-		b := newBirthFixture(c, jobWithTasks(2))
+		b := newBootIDFixture(c, jobWithTasks(2))
 		b.list("w", 9)
 		b.report("w@9", 50, nil)
 		b.runningOn([]time.Duration{0, 0}, "w@9")
@@ -270,11 +270,11 @@
 	}
 }
 
-// TestAnswersUnderALowerTokenDoNotCountForTheNextLife guards against a task that runs twice. An order to the previous
-// life may arrive after the next life has answered a call that was sent before the token of the ID rose.
-func TestAnswersUnderALowerTokenDoNotCountForTheNextLife(t *testing.T) {
+// TestAnswersUnderALowerTokenDoNotCountForTheNextIncarnation guards against a task that runs twice. An order to the previous
+// incarnation may arrive after the next incarnation has answered a call that was sent before the token of the ID rose.
+func TestAnswersUnderALowerTokenDoNotCountForTheNextIncarnation(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	b.list("w", 9)
 	b.report("w@9", 50, nil)
 	b.runningOn([]time.Duration{100 * time.Millisecond}, "w@9")
@@ -283,7 +283,7 @@
 	next := b.workers["w@4"]
 	c.Assert(next.token.Load() > before, quicktest.IsTrue)
 	asked := next.token.Load()
-	b.report("w@4", 3, nil) // ends the previous life, whose order may have been sent just before
+	b.report("w@4", 3, nil) // ends the previous incarnation, whose order may have been sent just before
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
 	c.Assert(next.usable(time.Now()), quicktest.IsFalse)
 	holdResult{worker: next, token: asked, asked: time.Now()}.apply(b.session)
@@ -298,7 +298,7 @@
 // before this leader raised the token. A refusal under the newest token does mean another leader.
 func TestARaisedTokenIsNoOtherLeaders(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	lost := 0
 	b.Lost = func(int64) { lost++ }
 	b.list("w", 9)
@@ -318,7 +318,7 @@
 
 func TestTokensAreRaisedWithinTheTermAlone(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	lost := 0
 	b.Lost = func(int64) { lost++ }
 	b.list("w", 9)
--- a/pool/lateorder_test.go
+++ b/pool/lateorder_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Guards against a task that starts from an order to an earlier life while another run of it goes on or after it was done. A start gets no answer, its
-// worker crashes and restarts under the same ID, and the new life reports no runs, so the task starts elsewhere. Then the first order, which names only
-// the ID, is carried out: tokens and stops that the old life had seen are gone, and the deadline was on its clock. As all calls of a term carried
-// one token, the new life's answer did not fence the old life's orders. 15 of these 16 histories failed, and none once the token rose with each life.
-func TestAnOrderForTheLifeBeforeStartsNothing(t *testing.T) {
+// Guards against a task that starts from an order to an earlier incarnation while another run of it goes on or after it was done. A start gets no answer, its
+// worker crashes and restarts under the same ID, and the new incarnation reports no runs, so the task starts elsewhere. Then the first order, which names only
+// the ID, is carried out: tokens and stops that the old incarnation had seen are gone, and the deadline was on its clock. As all calls of a term carried
+// one token, the new incarnation's answer did not fence the old incarnation's orders. 15 of these 16 histories failed, and none once the token rose with each incarnation.
+func TestAnOrderForTheIncarnationBeforeStartsNothing(t *testing.T) {
 	for seed := range uint64(16) {
 		_, wrong := runHistoryReusingIDs(t, seed, func(h *history) {
 			h.beforeCheck = func() { h.excludeGivenUp() }
@@ -34,9 +34,9 @@
 	}
 }
 
-// Guards against a task that runs twice when its unanswered start passes the deadline, the worker crashes, and the next life under the worker's ID carries
-// the start out before it has answered any call. A life does not inherit the tokens and stops of the life before.
-func TestAnOrderThatTheLifeBeforeHasSettledStartsNothing(t *testing.T) {
+// Guards against a task that runs twice when its unanswered start passes the deadline, the worker crashes, and the next incarnation under the worker's ID carries
+// the start out before it has answered any call. An incarnation does not inherit the tokens and stops of the incarnation before.
+func TestAnOrderThatTheIncarnationBeforeHasSettledStartsNothing(t *testing.T) {
 	for seed := range uint64(32) {
 		_, wrong := runHistoryReusingIDs(t, seed, func(h *history) {
 			h.beforeCheck = func() { h.excludeGivenUp() }
--- a/pool/leave.go
+++ b/pool/leave.go
@@ -12,7 +12,7 @@
 const (
 	// saveMargin is how long before the end of a leaving worker its tasks are stopped to save their progress.
 	saveMargin = 700 * time.Millisecond
-	// unlistedGrace is how long a life must be missing from the list before it counts as leaving. Entries that expired
+	// unlistedGrace is how long an incarnation must be missing from the list before it counts as leaving. Entries that expired
 	// while the store was unavailable are back about two seconds after the store is.
 	unlistedGrace = 2500 * time.Millisecond
 )
--- a/pool/load.go
+++ b/pool/load.go
@@ -23,10 +23,10 @@
 	lostKey  = "l/"
 	lateKey  = "o/"
 	waveKey  = "wave/"
-	// lifeKey is the prefix for lives that may have been given work. Earlier versions stored all of them in the
+	// incarnationKey is the prefix for incarnations that may have been given work. Earlier versions stored all of them in the
 	// single record workersKey.
-	lifeKey    = "w/"
-	workersKey = "workers"
+	incarnationKey = "w/"
+	workersKey     = "workers"
 	// instancesKey holds the number of instances of which the leader last required a majority, see session.instances.
 	instancesKey = "instances"
 	lessonsKey   = "lessons"
@@ -106,7 +106,7 @@
 // restoreRuns adds the runs that an earlier leader ordered to the workers on which they may be. The first report of
 // each worker settles them.
 //
-// A life without a stored record has certainly ended; restoreRuns adds the runs that were or may have been there to
+// An incarnation without a stored record has certainly ended; restoreRuns adds the runs that were or may have been there to
 // ended.
 func (c *session) restoreRuns(j *job.Job, k job.Stored, ended map[string][]earlierLostRun) {
 	for _, r := range k.Runs {
@@ -114,15 +114,15 @@
 			continue
 		}
 		t := &j.Tasks[r.Ordinal]
-		w, lifeEnded := c.restoredRow(r.Life)
-		if lifeEnded {
-			ended[r.Life] = append(ended[r.Life], earlierLostRun{task: t, run: r.Run})
+		w, incarnationEnded := c.restoredRow(r.Incarnation)
+		if incarnationEnded {
+			ended[r.Incarnation] = append(ended[r.Incarnation], earlierLostRun{task: t, run: r.Run})
 		}
 		if w == nil {
 			continue
 		}
-		t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.Run, w.Life, c.now()
-		c.addRun(w, t, &run{number: r.Run, fromEarlierLeader: true, carriedOver: lifeEnded, pace: fullPercent})
+		t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.Run, w.Incarnation, c.now()
+		c.addRun(w, t, &run{number: r.Run, fromEarlierLeader: true, carriedOver: incarnationEnded, pace: fullPercent})
 	}
 }
 
@@ -165,7 +165,7 @@
 	states := make(map[string]job.Stored)
 	lost := make(map[string][]job.StoredLost)
 	late := make(map[string][]job.StoredLate)
-	earlier := make(map[string]keptLife)
+	earlier := make(map[string]keptIncarnation)
 	for _, r := range state.Records {
 		switch {
 		case strings.HasPrefix(r.Key, stateKey):
@@ -185,16 +185,16 @@
 				late[r.Key[len(lateKey):]] = k
 				c.sideKeys[r.Key] = true
 			}
-		case strings.HasPrefix(r.Key, lifeKey):
-			var k keptLife
+		case strings.HasPrefix(r.Key, incarnationKey):
+			var k keptIncarnation
 			if c.decodeRecord(r, &k) {
-				earlier[r.Key[len(lifeKey):]] = k
+				earlier[r.Key[len(incarnationKey):]] = k
 			}
 		case r.Key == workersKey:
 			var all []keptWorker
 			c.legacyWorkersRecord = c.decodeRecord(r, &all)
 			for _, k := range all {
-				earlier[k.Life] = keptLife{Machine: k.Machine, Pool: k.Pool, Address: k.Address}
+				earlier[k.Incarnation] = keptIncarnation{Machine: k.Machine, Pool: k.Pool, Address: k.Address}
 			}
 		case r.Key == instancesKey:
 			c.decodeRecord(r, &c.previousInstances)
@@ -217,7 +217,7 @@
 	for _, r := range list.Records {
 		c.applyWorkerRecord(r.Key, r.Value)
 	}
-	c.restoreLives(earlier)
+	c.restoreIncarnations(earlier)
 	for _, w := range c.workers {
 		w.knownAtTakeover = true
 	}
--- a/pool/machinecalls_test.go
+++ b/pool/machinecalls_test.go
@@ -167,17 +167,17 @@
 	}
 }
 
-// TestAnInstanceWhoseLifeHasLeftTheTablesIsNotMoved guards against moving an instance whose incarnation was removed, because its lease ended while it
-// was unlisted, between the decision and the call. Such a move ended a long-running task while another one of its step was away. Found by random
+// TestAnInstanceWhoseIncarnationHasLeftTheTablesIsNotMoved guards against moving an instance whose incarnation was removed, because its lease ended while it
+// was unlisted, between the decision and the call. Such a move ended a lasting task while another one of its step was away. Found by random
 // histories (seed 71858).
-func TestAnInstanceWhoseLifeHasLeftTheTablesIsNotMoved(t *testing.T) {
+func TestAnInstanceWhoseIncarnationHasLeftTheTablesIsNotMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		x := new(fakeMachines)
 		b := newMoveBench(c, x, 0)
 		now := time.Now()
-		b.moves["m-w1"] = &pendingMove{to: "spare", life: "w1", since: now, notBefore: now.Add(time.Second)}
-		b.removeLife(b.workers["w1"], "its lease is over and it is not listed")
+		b.moves["m-w1"] = &pendingMove{to: "spare", incarnation: "w1", since: now, notBefore: now.Add(time.Second)}
+		b.removeIncarnation(b.workers["w1"], "its lease is over and it is not listed")
 		time.Sleep(2 * time.Second)
 		b.advanceMoves(time.Now())
 		synctest.Wait()
--- a/pool/upkeep.go
+++ b/pool/maintenance.go
@@ -13,8 +13,8 @@
 	"rackstep.dev/event"
 	"rackstep.dev/feed"
 	"rackstep.dev/job"
+	"rackstep.dev/maintenance"
 	"rackstep.dev/place"
-	"rackstep.dev/upkeep"
 )
 
 // Timing of maintenance waves.
@@ -26,7 +26,7 @@
 	maintenanceMargin = 200 * time.Millisecond
 	// shortWorkGrace is how long the tasks of an instance may take to end before they are stopped for its maintenance.
 	shortWorkGrace = 2500 * time.Millisecond
-	// maxWaitShare is the share of a wave's time during which it waits for a failing store to recover, and for capacity for the long-running tasks
+	// maxWaitShare is the share of a wave's time during which it waits for a failing store to recover, and for capacity for the lasting tasks
 	// that have to be moved.
 	maxWaitShare = 0.6
 )
@@ -80,9 +80,9 @@
 
 // maintenanceStep is the progress of one instance through a wave.
 type maintenanceStep struct {
-	// life is the incarnation that the maintenance ends.
-	life  string
-	since time.Time
+	// incarnation is the incarnation that the maintenance ends.
+	incarnation string
+	since       time.Time
 	// inFlight means that a call is in progress, uncertain that a call got no answer, away that the maintenance has begun.
 	inFlight, uncertain, away bool
 	// noTimeLeft means that the wave can't wait any longer for capacity for the tasks that have to be moved.
@@ -228,18 +228,18 @@
 func (c *session) markDue(row *waveState) {
 	for _, m := range row.Machines {
 		if w := c.listedWorkerOn(m); w != nil {
-			w.room.UpkeepDue = !row.begun[m]
+			w.room.MaintenanceDue = !row.begun[m]
 		}
 	}
 }
 
 // nextInWave returns the instances of the wave that are to be emptied next.
-func (c *session) nextInWave(row *waveState, now time.Time) []upkeep.Candidate {
-	w := upkeep.Wave{MaxAway: row.MaxAway, Out: len(row.steps), Remaining: len(row.steps), Within: row.Within, Elapsed: row.known(now), Each: c.Bounds().Upkeep}
-	var waiting []upkeep.Candidate
+func (c *session) nextInWave(row *waveState, now time.Time) []maintenance.Candidate {
+	w := maintenance.Wave{MaxAway: row.MaxAway, Out: len(row.steps), Remaining: len(row.steps), Within: row.Within, Elapsed: row.known(now), Each: c.Bounds().Maintenance}
+	var waiting []maintenance.Candidate
 	for _, m := range row.Machines {
 		if s := row.steps[m]; s != nil {
-			if incarnation := c.workers[s.life]; incarnation != nil && !s.away && incarnation.room.Serving+incarnation.room.Filling > 0 {
+			if incarnation := c.workers[s.incarnation]; incarnation != nil && !s.away && incarnation.room.Serving+incarnation.room.Filling > 0 {
 				w.OutLasting++
 			}
 			continue
@@ -251,7 +251,7 @@
 		if c.moves[m] != nil {
 			continue
 		}
-		x := upkeep.Candidate{Name: m, Pool: c.machines[m].Pool}
+		x := maintenance.Candidate{Name: m, Pool: c.machines[m].Pool}
 		if incarnation := c.listedWorkerOn(m); incarnation != nil {
 			x.Runs, x.Lasting = len(incarnation.runs), incarnation.room.Serving+incarnation.room.Filling
 		}
@@ -260,7 +260,7 @@
 	if len(waiting) == 0 {
 		return nil
 	}
-	return upkeep.Next(w, waiting, c.surplus)
+	return maintenance.Next(w, waiting, c.surplus)
 }
 
 // countAway returns the number of instances that are or may be under maintenance, and removes the steps of those that have returned.
@@ -275,7 +275,7 @@
 		}
 	}
 	for _, m := range row.Machines {
-		if s := row.steps[m]; (s == nil || !s.mayBeAway()) && c.machines[m].State == MachineInUpkeep {
+		if s := row.steps[m]; (s == nil || !s.mayBeAway()) && c.machines[m].State == MachineInMaintenance {
 			away++ // begun by an earlier leader
 		}
 	}
@@ -288,25 +288,25 @@
 // maintenanceOver reports whether the maintenance has ended: its duration has passed, and either a new incarnation or the machine interface confirms
 // it.
 func (c *session) maintenanceOver(machine string, s *maintenanceStep) bool {
-	end := s.begun.Add(c.Bounds().Upkeep + maintenanceMargin)
+	end := s.begun.Add(c.Bounds().Maintenance + maintenanceMargin)
 	if c.now().Before(end) {
 		return false
 	}
-	if w := c.listedWorkerOn(machine); w != nil && w.Life != s.life && w.listedSince.After(s.begun) {
+	if w := c.listedWorkerOn(machine); w != nil && w.Incarnation != s.incarnation && w.listedSince.After(s.begun) {
 		return true
 	}
 	x, ok := c.machines[machine]
-	return ok && c.machinesListedAt.After(end) && x.State != MachineInUpkeep
+	return ok && c.machinesListedAt.After(end) && x.State != MachineInMaintenance
 }
 
 // startEmptying starts to empty an instance. If an earlier leader began its maintenance without storing that, the maintenance is requested again: the
 // repeated call may be answered like the first one.
 func (c *session) startEmptying(row *waveState, machine string, now time.Time) {
-	begun := c.machines[machine].State == MachineInUpkeep && !c.inOtherWave(row, machine)
+	begun := c.machines[machine].State == MachineInMaintenance && !c.inOtherWave(row, machine)
 	s := &maintenanceStep{since: now, uncertain: row.requested[machine] || begun}
 	if w := c.workerOn(machine); w != nil {
 		w.beingEmptied = true
-		s.life = w.Life
+		s.incarnation = w.Incarnation
 	}
 	row.steps[machine] = s
 }
@@ -324,7 +324,7 @@
 }
 
 func (c *session) listedWorkerOn(machine string) *worker {
-	for _, w := range c.livesByMachine[machine] {
+	for _, w := range c.incarnationsByMachine[machine] {
 		if w.listed {
 			return w
 		}
@@ -337,8 +337,8 @@
 	if w := c.listedWorkerOn(machine); w != nil {
 		return w
 	}
-	if lives := c.livesByMachine[machine]; len(lives) > 0 {
-		return lives[0]
+	if incarnations := c.incarnationsByMachine[machine]; len(incarnations) > 0 {
+		return incarnations[0]
 	}
 	return nil
 }
@@ -347,13 +347,13 @@
 // all leases granted by earlier leaders have expired.
 func (c *session) isKnownIdle(machine string, now time.Time) bool {
 	x := c.machines[machine]
-	return x.ID == "" || c.endedLives[x.ID] || c.term.Number == 1 || c.earlierLeasesOver(now)
+	return x.ID == "" || c.endedIncarnations[x.ID] || c.term.Number == 1 || c.earlierLeasesOver(now)
 }
 
-// tryEmpty reports whether the instance is empty, so that its maintenance interrupts nothing. It stops long-running tasks that their step may miss
+// tryEmpty reports whether the instance is empty, so that its maintenance interrupts nothing. It stops lasting tasks that their step may miss
 // and that fit elsewhere, or that the wave can't wait for, and other tasks after shortWorkGrace.
 func (c *session) tryEmpty(machine string, s *maintenanceStep, now time.Time) bool {
-	w := c.workers[s.life]
+	w := c.workers[s.incarnation]
 	if w == nil {
 		w = c.workerOn(machine) // it may have been restarted or listed in the meantime
 	}
@@ -363,7 +363,7 @@
 	if !w.answered || w.unreadRuns > 0 || !w.silentSince.IsZero() {
 		return false // it is not known what runs there
 	}
-	s.life = w.Life
+	s.incarnation = w.Incarnation
 	w.beingEmptied = true
 	for t := range w.runs {
 		switch {
@@ -402,7 +402,7 @@
 	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
 		defer cancel()
-		err := c.callIfConfirmed(func() error { return c.Machines.Upkeep(ctx, machine, row.Number, c.term.Fence) })
+		err := c.callIfConfirmed(func() error { return c.Machines.Maintenance(ctx, machine, row.Number, c.term.Fence) })
 		c.post(maintenanceAnswered{row: row, machine: machine, step: s, err: err})
 	})
 }
@@ -423,10 +423,10 @@
 	case m.err == nil:
 		m.step.away, m.step.uncertain, m.step.begun = true, false, now
 		m.row.markBegun(m.machine)
-		if w := c.workers[m.step.life]; w != nil {
-			c.endLife(w, "its upkeep has begun")
+		if w := c.workers[m.step.incarnation]; w != nil {
+			c.endIncarnation(w, "its upkeep has begun")
 		}
-		c.counts.upkeeps.Inc(1)
+		c.counts.maintenances.Inc(1)
 		c.emit(event.UpkeepBegun, event.Subject{Instance: m.machine}, "wave=%d done=%d of %d", m.row.Number, len(m.row.begun), len(m.row.Machines))
 		return
 	case errors.Is(m.err, ErrTooMany):
--- a/pool/upkeep_test.go
+++ b/pool/maintenance_test.go
@@ -15,10 +15,10 @@
 	"rackstep.dev/feed"
 )
 
-// TestAnUpkeepThatAnEarlierLeaderBeganCounts guards against exceeding the limit of a wave after a takeover. The earlier leader began two maintenances
+// TestAMaintenanceThatAnEarlierLeaderBeganCounts guards against exceeding the limit of a wave after a takeover. The earlier leader began two maintenances
 // and was lost before it stored that, so that only the machine interface knows. Whatever it answers to a repeated call, no third maintenance may
 // begin.
-func TestAnUpkeepThatAnEarlierLeaderBeganCounts(t *testing.T) {
+func TestAMaintenanceThatAnEarlierLeaderBeganCounts(t *testing.T) {
 	for _, answer := range []error{nil, ErrBusy, context.DeadlineExceeded} {
 		t.Run(fmt.Sprint(answer), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -26,7 +26,7 @@
 				b := newFixture(c, nil)
 				var mu sync.Mutex // calls are concurrent
 				var asked []string
-				b.Machines.Upkeep = func(_ context.Context, machine string, _, _ int64) error {
+				b.Machines.Maintenance = func(_ context.Context, machine string, _, _ int64) error {
 					mu.Lock()
 					defer mu.Unlock()
 					asked = append(asked, machine)
@@ -40,7 +40,7 @@
 					b.machines[m] = Machine{Name: m, Pool: "p", State: MachineUp}
 				}
 				for _, m := range []string{"m3", "m6"} {
-					b.machines[m] = Machine{Name: m, Pool: "p", State: MachineInUpkeep}
+					b.machines[m] = Machine{Name: m, Pool: "p", State: MachineInMaintenance}
 				}
 				b.machinesListedAt = time.Now()
 				waveRequested{wave: wave}.apply(b.session)
@@ -57,14 +57,14 @@
 	}
 }
 
-// TestAnUpkeepIsAskedForOnceTheNextLeaderWillKnow checks that a maintenance call is made only after the request is stored: a delayed call may be
+// TestAMaintenanceIsAskedForOnceTheNextLeaderWillKnow checks that a maintenance call is made only after the request is stored: a delayed call may be
 // carried out under the next leader, which has to count it.
-func TestAnUpkeepIsAskedForOnceTheNextLeaderWillKnow(t *testing.T) {
+func TestAMaintenanceIsAskedForOnceTheNextLeaderWillKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil)
 		asked := 0
-		b.Machines.Upkeep = func(context.Context, string, int64, int64) error { asked++; return context.DeadlineExceeded }
+		b.Machines.Maintenance = func(context.Context, string, int64, int64) error { asked++; return context.DeadlineExceeded }
 		b.PutWave = func(context.Context, int64, bool) error { return nil }
 		b.machines["m0"] = Machine{Name: "m0", Pool: "p"}
 		b.machinesListedAt = time.Now()
@@ -97,13 +97,13 @@
 		c := quicktest.New(t)
 		b := newFixture(c, nil)
 		var asked []string
-		b.Machines.Upkeep = func(_ context.Context, machine string, wave, _ int64) error {
+		b.Machines.Maintenance = func(_ context.Context, machine string, wave, _ int64) error {
 			asked = append(asked, fmt.Sprintf("%s in wave %d", machine, wave))
 			return nil
 		}
 		b.PutWave = func(context.Context, int64, bool) error { return nil }
 		for _, m := range []string{"m0", "m1"} {
-			b.machines[m] = Machine{Name: m, Pool: "p", State: MachineInUpkeep}
+			b.machines[m] = Machine{Name: m, Pool: "p", State: MachineInMaintenance}
 		}
 		b.machinesListedAt = time.Now()
 		b.wave(2).markBegun("m1")
--- a/pool/majority_test.go
+++ b/pool/majority_test.go
@@ -13,21 +13,21 @@
 	"rackstep.dev/lead"
 )
 
-// TestLivesThatBeganLaterDoNotStopTheEarlierLeader guards against a task that runs twice during a network partition.
+// TestIncarnationsThatBeganLaterDoNotStopTheEarlierLeader guards against a task that runs twice during a network partition.
 // The earlier leader had parked half of the instances, and four of the remaining six were in its partition, so it
 // went on giving orders with a majority of what it counted. The next leader brought seven parked instances back. With
 // those and two of the six it had its token at half of the instances, considered the earlier leader stopped, and
 // started its tasks elsewhere. Instances that the earlier leader did not count must not count towards the half that
 // stops it, because none of its majorities needs them.
-func TestLivesThatBeganLaterDoNotStopTheEarlierLeader(t *testing.T) {
+func TestIncarnationsThatBeganLaterDoNotStopTheEarlierLeader(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 	b.term.Exclusive, b.term.CleanHandover = false, false
 	b.report("w1", 100, nil)
 	for i := range 5 {
-		life := fmt.Sprint("new", i)
-		b.applyWorkerRecord(life, []byte{1})
-		b.report(life, 100, nil)
+		incarnation := fmt.Sprint("new", i)
+		b.applyWorkerRecord(incarnation, []byte{1})
+		b.report(incarnation, 100, nil)
 	}
 	c.Assert(b.majorityFencedAt.IsZero(), quicktest.IsTrue, quicktest.Commentf("three of four may still answer the earlier leader"))
 	b.report("w2", 100, nil)
--- a/pool/metrics.go
+++ b/pool/metrics.go
@@ -14,8 +14,8 @@
 	jobs, firstStarts, batch tally.Histogram
 	ordered, lost, moves     tally.Counter
 	// runsLost counts the runs whose worker incarnation ended while it had them, givenUp the jobs that were given up because of that.
-	runsLost, givenUp       tally.Counter
-	upkeeps, unstoredStarts tally.Counter
+	runsLost, givenUp            tally.Counter
+	maintenances, unstoredStarts tally.Counter
 	// capped counts how often a step began to wait for the cap of its organisation.
 	capped tally.Counter
 	// silentWorkers is the number of workers that do not answer, uncertainRuns the number of runs that are or may be on them.
@@ -40,7 +40,7 @@
 		jobs:  scope.Histogram("job_duration", buckets), firstStarts: scope.Histogram("job_first_start", buckets),
 		batch: scope.Histogram("state_batch", buckets), ordered: scope.Counter("runs_ordered"), lost: scope.Counter("workers_lost"),
 		runsLost: scope.Counter("runs_lost"), givenUp: scope.Counter("jobs_given_up"),
-		moves: scope.Counter("instances_moved"), upkeeps: scope.Counter("upkeeps_begun"), unstoredStarts: scope.Counter("runs_ordered_unkept"),
+		moves: scope.Counter("instances_moved"), maintenances: scope.Counter("upkeeps_begun"), unstoredStarts: scope.Counter("runs_ordered_unkept"),
 		capped: scope.Counter("steps_capped"), restartedWorkers: scope.Counter("workers_reborn"), recordsAside: scope.Counter("records_aside"), unreadableEntries: scope.Gauge("entries_misread"), silentWorkers: scope.Gauge("workers_silent"), uncertainRuns: scope.Gauge("runs_on_silent_workers"),
 	}
 }
--- a/pool/modes.go
+++ b/pool/modes.go
@@ -82,10 +82,10 @@
 func (c *session) updateModes(now time.Time) {
 	c.setMode(modeUnconfirmed, !c.confirmed(now), now, "newest confirmed renewal")
 	c.setMode(modeHearing, !c.term.CleanHandover && c.majorityFencedAt.IsZero(), now, "half of the instances have this leader's token")
-	if len(c.uncertainLives) == 0 {
+	if len(c.uncertainIncarnations) == 0 {
 		c.reportTakeoverStep("all-heard", now)
 	}
 	c.setMode(modeAside, len(c.aside) > 0, now, "what was aside is kept, or gone")
 	c.setMode(modeCrowded, c.crowded(), now, "connections to workers")
-	c.setMode(modeOrphans, c.earlierUnstored && len(c.uncertainLives) > 0, now, "workers that have not answered")
+	c.setMode(modeOrphans, c.earlierUnstored && len(c.uncertainIncarnations) > 0, now, "workers that have not answered")
 }
--- a/pool/orders.go
+++ b/pool/orders.go
@@ -38,7 +38,7 @@
 
 // planStart plans a run of the task. Its start is sent once the run is stored, so that the next leader knows where the run may be.
 func (c *session) planStart(w *worker, t *job.Task, r *run, now time.Time) {
-	t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.number, w.Life, now
+	t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.number, w.Incarnation, now
 	t.Stopping, t.AtWork, t.Percent, t.Gauge = false, false, 0, 0
 	c.addRun(w, t, r)
 	w.lastStartAt = now
@@ -83,7 +83,7 @@
 // sendIfValid sends a planned start, unless the run or its worker can no longer be used.
 func (c *session) sendIfValid(p plannedStart, now time.Time) {
 	w, t, r := p.worker, p.task, p.run
-	if w.runs[t] != r || c.workers[w.Life] != w {
+	if w.runs[t] != r || c.workers[w.Incarnation] != w {
 		return
 	}
 	// The worker's capacity may have shrunk or the organisation's cap been lowered since the run was planned.
@@ -105,7 +105,7 @@
 		Task: t.Name(), Run: r.number, Text: t.Job.Spec.Text, Deadline: r.deadline,
 		Fence: w.token.Load(), Saved: t.Saved, Ticket: r.ticket,
 	}
-	c.emit(event.RunOrdered, event.Subject{Job: o.Task, Instance: w.Life}, "run=%d waited=%v slack=%v free=%d config=%d", r.number, c.now().Sub(t.Job.Received).Round(time.Millisecond), r.slack.Round(time.Millisecond), w.room.Free.MilliCPU, c.config.Version)
+	c.emit(event.RunOrdered, event.Subject{Job: o.Task, Instance: w.Incarnation}, "run=%d waited=%v slack=%v free=%d config=%d", r.number, c.now().Sub(t.Job.Received).Round(time.Millisecond), r.slack.Round(time.Millisecond), w.room.Free.MilliCPU, c.config.Version)
 	c.counts.ordered.Inc(1)
 	c.reportTakeoverStep("first-start", now)
 	if !t.Job.Began {
@@ -142,11 +142,11 @@
 		w.readClock(m.answer.Clock)
 	}
 	r := w.runs[t]
-	if c.workers[w.Life] != w || r == nil || r.number != m.run {
-		if errors.Is(m.err, work.ErrNotSent) || (m.err == nil && m.answer.Refusal == work.OtherLife && m.pending == 0) {
+	if c.workers[w.Incarnation] != w || r == nil || r.number != m.run {
+		if errors.Is(m.err, work.ErrNotSent) || (m.err == nil && m.answer.Refusal == work.OtherIncarnation && m.pending == 0) {
 			c.retractLostRun(t, m.run)
 		}
-		return // the run or its worker's life has ended
+		return // the run or its worker's incarnation has ended
 	}
 	now := c.now()
 	switch {
@@ -168,12 +168,12 @@
 		c.Lost(c.term.Fence)
 	case m.pending > 0:
 		c.startUnanswered(w, t, r, refusedAfterPending(m.answer.Refusal))
-		if m.answer.Refusal == work.OtherLife {
-			c.otherLifeAnswered(w, m.answer)
+		if m.answer.Refusal == work.OtherIncarnation {
+			c.otherIncarnationAnswered(w, m.answer)
 		}
-	case m.answer.Refusal == work.OtherLife:
-		c.requeueRefused(w, t, "its address has another life") // the run was never on this life, so the life's end does not count against it
-		c.otherLifeAnswered(w, m.answer)
+	case m.answer.Refusal == work.OtherIncarnation:
+		c.requeueRefused(w, t, "its address has another life") // the run was never on this incarnation, so the incarnation's end does not count against it
+		c.otherIncarnationAnswered(w, m.answer)
 	default:
 		c.requeueRefused(w, t, m.answer.Refusal.String())
 		c.applyRefusal(w, t, m.answer.Refusal, now)
@@ -183,7 +183,7 @@
 // requeueRefused drops a refused run, so that its task can start elsewhere after a back-off.
 func (c *session) requeueRefused(w *worker, t *job.Task, why string) {
 	c.counts.refused(why)
-	c.emit(event.RunRefused, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", t.Run, why)
+	c.emit(event.RunRefused, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d why=%q", t.Run, why)
 	w.dropRun(t)
 	t.Refused++
 	t.NotBefore = c.now().Add(backoff(t.Refused-1, refusedBackoff))
@@ -204,7 +204,7 @@
 		}
 		w.lastUnknownJob = t.Job
 	case work.BadTicket:
-		c.forgetTicket(t, w.Life)
+		c.forgetTicket(t, w.Incarnation)
 	}
 }
 
@@ -242,7 +242,7 @@
 	}
 	r.stopSent, r.sentAt = true, c.now()
 	t.Stopping = true
-	c.emit(event.StopOrdered, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", r.number, why)
+	c.emit(event.StopOrdered, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d why=%q", r.number, why)
 	c.sendStop(w, t, r.number)
 }
 
@@ -252,7 +252,7 @@
 		return
 	}
 	w.strayRuns[number] = c.now()
-	c.emit(event.StopOrdered, event.Subject{Job: name, Instance: w.Life}, "run=%d why=%q", number, why)
+	c.emit(event.StopOrdered, event.Subject{Job: name, Instance: w.Incarnation}, "run=%d why=%q", number, why)
 	c.callStop(w, name, number, nil)
 }
 
@@ -286,15 +286,15 @@
 
 func (m stopResult) apply(c *session) {
 	w := m.worker
-	if c.workers[w.Life] != w || m.err != nil {
+	if c.workers[w.Incarnation] != w || m.err != nil {
 		return // the worker's reports decide
 	}
 	w.readClock(m.answer.Clock)
 	switch m.answer.Refusal {
 	case work.Fenced:
 		c.tokenRefused(w, m.token)
-	case work.OtherLife:
-		c.otherLifeAnswered(w, m.answer)
+	case work.OtherIncarnation:
+		c.otherIncarnationAnswered(w, m.answer)
 	case work.Accepted:
 		if r := w.runs[m.task]; r != nil && r.number == m.run {
 			r.stopped = m.answer.Clock
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -8,7 +8,7 @@
 
 	"rackstep.dev/event"
 	"rackstep.dev/job"
-	"rackstep.dev/upkeep"
+	"rackstep.dev/maintenance"
 	"rackstep.dev/work"
 )
 
@@ -34,7 +34,7 @@
 		if !t.Spec().Fills || t.Phase != job.Active || t.Stopping {
 			continue
 		}
-		if p := upkeep.Pace(r.pace, worstTail); p != r.pace {
+		if p := maintenance.Pace(r.pace, worstTail); p != r.pace {
 			r.pace = p
 			c.pace(w, t, r, worstTail)
 		}
@@ -44,7 +44,7 @@
 // pace sends a new CPU share for a run. If the order is not answered, it is sent again after the next report.
 func (c *session) pace(w *worker, t *job.Task, r *run, worst float64) {
 	o := work.Pace{Task: t.Name(), Run: r.number, Percent: r.pace, Fence: w.token.Load()}
-	c.emit(event.RunPaced, event.Subject{Job: o.Task, Instance: w.Life}, "run=%d percent=%d tail=%.2f of its target", o.Run, o.Percent, worst)
+	c.emit(event.RunPaced, event.Subject{Job: o.Task, Instance: w.Incarnation}, "run=%d percent=%d tail=%.2f of its target", o.Run, o.Percent, worst)
 	row := w.Worker
 	c.background.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
@@ -68,7 +68,7 @@
 	r := m.worker.runs[m.task]
 	switch {
 	case m.err != nil && r != nil && r.number == m.run:
-		r.pace = upkeep.PaceUnknown // sent again after the next report
+		r.pace = maintenance.PaceUnknown // sent again after the next report
 	case m.err == nil && m.answer.Refusal == work.Fenced:
 		c.tokenRefused(m.worker, m.token)
 	}
--- a/pool/pending.go
+++ b/pool/pending.go
@@ -13,15 +13,15 @@
 	"rackstep.dev/work"
 )
 
-// An unanswered start may still be carried out seconds later. It is addressed to the worker's ID: the life it was sent to refuses it or already has the
-// run, but a later life under the same ID does not know the run and begins it. Nothing can prevent this before that life has answered its first call.
+// An unanswered start may still be carried out seconds later. It is addressed to the worker's ID: the incarnation it was sent to refuses it or already has the
+// run, but a later incarnation under the same ID does not know the run and begins it. Nothing can prevent this before that incarnation has answered its first call.
 //
-// The start is therefore sent again to the same life, where duplicates have no effect. While a copy may still be carried out (see job.Task.LateUntil):
+// The start is therefore sent again to the same incarnation, where duplicates have no effect. While a copy may still be carried out (see job.Task.LateUntil):
 //
-//   - the task stays with the ID of its worker: a later life that has answered under a higher token and does not have the run is sent the start again. Only a
-//     task that may have ended its worker's life is started elsewhere then;
+//   - the task stays with the ID of its worker: a later incarnation that has answered under a higher token and does not have the run is sent the start again. Only a
+//     task that may have ended its worker's incarnation is started elsewhere then;
 //   - an end of the task is processed but not acknowledged to its worker, because the users' interface lets a task run again after an unacknowledged end;
-//   - a silent worker is polled frequently, so that its next life learns the higher token before a copy arrives.
+//   - a silent worker is polled frequently, so that its next incarnation learns the higher token before a copy arrives.
 
 // Limits and timing of unanswered starts.
 const (
@@ -33,7 +33,7 @@
 	startTimeout  = 120 * time.Millisecond
 	// startRounds is the maximum number of orders per start, including the first, for a worker that does not answer within orderTimeout.
 	startRounds = 4
-	// pendingRetry is the pause between two calls to a silent worker whose next life may carry out a copy. It grows by pendingRetryStep for each such worker, up
+	// pendingRetry is the pause between two calls to a silent worker whose next incarnation may carry out a copy. It grows by pendingRetryStep for each such worker, up
 	// to retryFirst, to limit the call rate of a leader.
 	pendingRetry     = 10 * time.Millisecond
 	pendingRetryStep = 2 * time.Millisecond
@@ -52,7 +52,7 @@
 // removeOne removes one attempt, which is known to have been carried out.
 func (p *pendingStarts) removeOne() { p.count = max(p.count-1, 0) }
 
-// callStart sends a start repeatedly until the worker answers, startAttempts is reached or orderTimeout has passed. A duplicate has no effect on a life that
+// callStart sends a start repeatedly until the worker answers, startAttempts is reached or orderTimeout has passed. A duplicate has no effect on an incarnation that
 // has or had the run. It calls onUnanswered for each attempt that got no answer, before sending the next one, and returns their number as pending.
 func (c *session) callStart(row *work.Worker, o work.Start, now time.Time, onUnanswered func(sentAt time.Time)) (a work.Answer, pending int, err error) {
 	end := now.Add(orderTimeout)
@@ -96,8 +96,8 @@
 	if r := c.runOf(m.task, m.run); r != nil {
 		r.pending.add(m.sentAt)
 	}
-	if m.worker.Birth == 0 {
-		return // no other life bears its ID
+	if m.worker.BootID == 0 {
+		return // no other incarnation bears its ID
 	}
 	m.worker.notePending(m.sentAt)
 	if until := m.sentAt.Add(lateMax); until.After(m.task.LateUntil) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// runOf returns the task's run with the given number, even if it has been handed on to the next life, or nil if there is no such run any more.
+// runOf returns the task's run with the given number, even if it has been handed on to the next incarnation, or nil if there is no such run any more.
 func (c *session) runOf(t *job.Task, number int64) *run {
 	w := c.workers[t.Worker]
 	if w == nil || w.runs[t] == nil || w.runs[t].number != number {
@@ -130,7 +130,7 @@
 // startUnanswered handles a start that may have been carried out or may still be.
 func (c *session) startUnanswered(w *worker, t *job.Task, r *run, err error) {
 	r.unanswered = r.confirmed == 0
-	c.emit(event.RunUnanswered, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d attempts=%d err=%q", r.number, r.pending.count, err)
+	c.emit(event.RunUnanswered, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d attempts=%d err=%q", r.number, r.pending.count, err)
 	if !r.unanswered {
 		c.attemptCarriedOut(t, r)
 	}
@@ -151,19 +151,19 @@
 
 // pinned reports whether an unanswered run must stay assigned to its worker regardless of the worker's reports, since its task must not start elsewhere.
 func (w *worker) pinned(t *job.Task, r *run, now time.Time) bool {
-	return w.Birth != 0 && r.unanswered && !t.Stopping && !t.Job.State.Ended() && t.MayComeLate(now)
+	return w.BootID != 0 && r.unanswered && !t.Stopping && !t.Job.State.Ended() && t.MayComeLate(now)
 }
 
-// mustResendHandedOn reports whether the start of a run that was handed on to this life, which does not have the run, must be sent to this life too: a later
-// life may still carry out a copy of the start, so the task must not run elsewhere. A task suspected of having ended its worker's life is tried apart instead.
+// mustResendHandedOn reports whether the start of a run that was handed on to this incarnation, which does not have the run, must be sent to this incarnation too: a later
+// incarnation may still carry out a copy of the start, so the task must not run elsewhere. A task suspected of having ended its worker's incarnation is tried apart instead.
 func (w *worker) mustResendHandedOn(t *job.Task, r *run, now time.Time) bool {
-	return r.carriedOver && r.pending.count > 0 && w.Birth != 0 && t.MayComeLate(now) && !t.Suspect && !t.Job.State.Ended()
+	return r.carriedOver && r.pending.count > 0 && w.BootID != 0 && t.MayComeLate(now) && !t.Suspect && !t.Job.State.Ended()
 }
 
-// markForResend turns a run that was handed on into an unanswered run of this life, so that resendStart sends its start under the same number.
+// markForResend turns a run that was handed on into an unanswered run of this incarnation, so that resendStart sends its start under the same number.
 func (r *run) markForResend() {
 	r.carriedOver, r.fromEarlierLeader, r.unanswered = false, false, true
-	r.deadline, r.orderCount = 0, 0 // the deadline was on the previous life's clock
+	r.deadline, r.orderCount = 0, 0 // the deadline was on the previous incarnation's clock
 }
 
 // resendStart sends an unanswered start again, up to startRounds.
@@ -176,13 +176,13 @@
 // ackAfter returns the time before which an end must not be acknowledged, or the zero time if the end only has to be stored first.
 func (c *session) ackAfter(w *worker, e work.EndedRun, now time.Time) time.Time {
 	t := c.task(e.Task)
-	if t == nil || w.Birth == 0 || !t.MayComeLate(now) {
+	if t == nil || w.BootID == 0 || !t.MayComeLate(now) {
 		return time.Time{}
 	}
 	return t.LateUntil
 }
 
-// notePending records an unanswered start that was sent at the given time to a worker whose ID another life may bear later.
+// notePending records an unanswered start that was sent at the given time to a worker whose ID another incarnation may bear later.
 func (w *worker) notePending(at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,24 +191,24 @@
 	}
 }
 
-// hasPendingStarts reports whether the next life under the worker's ID may begin a run because of an unanswered start.
+// hasPendingStarts reports whether the next incarnation under the worker's ID may begin a run because of an unanswered start.
 func (w *worker) hasPendingStarts(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.pendingAt.IsZero() && now.Sub(w.pendingAt) < lateMax
 }
 
-// retryPause returns the pause after a failed hold. It is shorter than usual while the worker's next life may receive a late order. The hold loop calls it,
-// so the worker's birth is passed in: its row belongs to the control goroutine.
-func (c *session) retryPause(w *worker, birth work.Birth, usual time.Duration, heard time.Time) time.Duration {
+// retryPause returns the pause after a failed hold. It is shorter than usual while the worker's next incarnation may receive a late order. The hold loop calls it,
+// so the worker's boot ID is passed in: its row belongs to the control goroutine.
+func (c *session) retryPause(w *worker, bootID work.BootID, usual time.Duration, heard time.Time) time.Duration {
 	now := c.exactNow()
 	switch {
-	case birth == 0:
+	case bootID == 0:
 		return usual
 	case w.hasPendingStarts(now):
 		return min(pendingRetry+pendingRetryStep*time.Duration(c.silentPending.Load()), retryFirst)
 	case now.Sub(heard) < restartWindow:
-		return retryFirst // a new life must learn the token before a late order arrives
+		return retryFirst // a new incarnation must learn the token before a late order arrives
 	}
 	return usual
 }
--- a/pool/pending_test.go
+++ b/pool/pending_test.go
@@ -34,7 +34,7 @@
 
 // pendingBench returns a session that has sent the start of a job's only task to w@9, and the starts that the worker was sent.
 func pendingBench(c *quicktest.C, answers ...work.Refusal) (*fixture, *[]work.Start) {
-	b := newBirthFixture(c, jobWithTasks(1))
+	b := newBootIDFixture(c, jobWithTasks(1))
 	sent := b.startsAnswered(answers...)
 	b.list("w", 9)
 	b.report("w@9", 50, nil)
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestAStartWithoutAnAnswerIsSentAgainToTheSameLife guards against a single lost answer that delays a task until its start's deadline or makes
+// TestAStartWithoutAnAnswerIsSentAgainToTheSameIncarnation guards against a single lost answer that delays a task until its start's deadline or makes
 // it run a second time elsewhere.
-func TestAStartWithoutAnAnswerIsSentAgainToTheSameLife(t *testing.T) {
+func TestAStartWithoutAnAnswerIsSentAgainToTheSameIncarnation(t *testing.T) {
 	for _, x := range [...]struct {
 		name    string
 		answers []work.Refusal
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestAStartThatNoAttemptGotAnAnswerToStaysWithItsLife guards against a task that runs elsewhere while the next life may carry out its
+// TestAStartThatNoAttemptGotAnAnswerToStaysWithItsIncarnation guards against a task that runs elsewhere while the next incarnation may carry out its
 // start.
-func TestAStartThatNoAttemptGotAnAnswerToStaysWithItsLife(t *testing.T) {
+func TestAStartThatNoAttemptGotAnAnswerToStaysWithItsIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b, sent := pendingBench(c)
@@ -105,7 +105,7 @@
 	})
 }
 
-// TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate guards against a task whose end was acknowledged and that runs again on the next life
+// TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate guards against a task whose end was acknowledged and that runs again on the next incarnation
 // under its worker's ID.
 func TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate(t *testing.T) {
 	for _, how := range [...]work.Outcome{work.Succeeded, work.Failed} {
@@ -126,16 +126,16 @@
 	}
 }
 
-// TestARunWhoseStartMayComeLateIsLookedForAtTheNextLife guards against a task that starts elsewhere when the life that has its run ends while
+// TestARunWhoseStartMayComeLateIsLookedForAtTheNextIncarnation guards against a task that starts elsewhere when the incarnation that has its run ends while
 // another attempt may still be carried out.
-func TestARunWhoseStartMayComeLateIsLookedForAtTheNextLife(t *testing.T) {
+func TestARunWhoseStartMayComeLateIsLookedForAtTheNextIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b, _ := pendingBench(c, unanswered, work.Accepted)
 		token := b.workers["w@9"].token.Load()
 		holdResult{worker: b.workers["w@9"], err: work.ErrNotSent}.apply(b.session)
 		c.Assert(b.workers["w@9"].token.Load() > token, quicktest.IsTrue, quicktest.Commentf("the next answering life must see a token above the start's"))
-		b.answerAsOtherLife("w@9", 4)
+		b.answerAsOtherIncarnation("w@9", 4)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 		c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
 		b.report("w@4", 3, nil)
@@ -144,16 +144,16 @@
 	})
 }
 
-// TestATaskStaysWithItsWorkerIDWhileItsStartMayComeLate guards against a task that runs elsewhere when two lives of a worker end in succession and the third
-// life carries out the start sent to the first.
+// TestATaskStaysWithItsWorkerIDWhileItsStartMayComeLate guards against a task that runs elsewhere when two incarnations of a worker end in succession and the third
+// incarnation carries out the start sent to the first.
 func TestATaskStaysWithItsWorkerIDWhileItsStartMayComeLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b, sent := pendingBench(c, unanswered, work.Accepted)
 		b.list("v", 9) // another worker with room
 		b.report("v@9", 50, nil)
-		time.Sleep(2 * suspectMaxAge) // makes the run too old to be suspected of ending the life
-		b.answerAsOtherLife("w@9", 4)
+		time.Sleep(2 * suspectMaxAge) // makes the run too old to be suspected of ending the incarnation
+		b.answerAsOtherIncarnation("w@9", 4)
 		b.list("w", 4)
 		b.report("w@4", 3, nil)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
@@ -162,7 +162,7 @@
 		b.resolveUnanswered(b.now())
 		b.settles()
 		c.Assert(len(*sent) > 2, quicktest.IsTrue, quicktest.Commentf("the start must be sent to the next life"))
-		b.answerAsOtherLife("w@4", 7)
+		b.answerAsOtherIncarnation("w@4", 7)
 		c.Assert(b.task(0).Worker, quicktest.Equals, "w@7")
 		time.Sleep(lateMax)
 		b.report("w@7", 20_000, nil)
@@ -174,7 +174,7 @@
 func TestAnEndRightAfterALateStartIsNotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b := newBirthFixture(c, jobWithTasks(1))
+		b := newBootIDFixture(c, jobWithTasks(1))
 		b.startsAnswered()
 		b.list("w", 9)
 		b.report("w@9", 50, nil)
@@ -201,7 +201,7 @@
 		state := feed.KeyedPage{Records: b.appendJobs(&commitBatch{versions: make(map[*job.Job]int64)}, nil)}
 		j := b.jobs["00000000000000a1"]
 		intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
-		next := newBirthFixture(c, jobWithTasks(1))
+		next := newBootIDFixture(c, jobWithTasks(1))
 		next.fillTables(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 		next.report("w@9", 60_000, nil)
 		next.commitAll()
--- a/pool/placing.go
+++ b/pool/placing.go
@@ -192,18 +192,18 @@
 		if now.Before(w.startsPausedUntil) {
 			p.dirty = true // retried with the next tick
 		}
-		if w.usable(now) && w.trial == nil && c.storedLives[w.Life] && (w.listedAtConfirmation || confirmed) {
+		if w.usable(now) && w.trial == nil && c.storedIncarnations[w.Incarnation] && (w.listedAtConfirmation || confirmed) {
 			r := w.room
 			r.RecentStart = now.Sub(w.lastStartAt) <= similarAge
 			r.Cold = now.Before(w.coldUntil)
 			copies = append(copies, r)
 		}
 	}
-	rooms := make([]*place.Candidate, len(copies))
+	candidates := make([]*place.Candidate, len(copies))
 	for i := range copies {
-		rooms[i] = &copies[i]
+		candidates[i] = &copies[i]
 	}
-	return rooms
+	return candidates
 }
 
 // placeableGroups returns the open groups of which at least one task may start now.
@@ -259,7 +259,7 @@
 	if !c.mayHaveUnstoredRuns() {
 		return false
 	}
-	for _, w := range c.uncertainLives {
+	for _, w := range c.uncertainIncarnations {
 		if w.Pool == pool {
 			return true
 		}
@@ -267,7 +267,7 @@
 	return false
 }
 
-// countPlacedTasks counts the running tasks of the step by worker, and by rack if they are long-running. It does nothing for steps whose placement
+// countPlacedTasks counts the running tasks of the step by worker, and by rack if they are lasting. It does nothing for steps whose placement
 // does not depend on these counts.
 func (c *session) countPlacedTasks(g *place.Group, step *job.Step) {
 	if step.PerWorker == 0 && !step.Lasting {
@@ -284,7 +284,7 @@
 		if w == nil || w.runs[t] == nil {
 			continue
 		}
-		g.OnWorker[w.Life]++
+		g.OnWorker[w.Incarnation]++
 		if g.Racks != nil {
 			g.Racks[w.Rack]++
 		}
@@ -319,7 +319,7 @@
 // startChoice plans the start that placement has chosen. The members of a gang share a run number and the saved progress.
 func (c *session) startChoice(choice place.Choice, now time.Time) {
 	t := choice.Task
-	w := c.workers[choice.Candidate.Worker.Life]
+	w := c.workers[choice.Candidate.Worker.Incarnation]
 	if t.Spec().Lasting && !c.canStartLasting(w, now) {
 		return // the task keeps waiting
 	}
--- a/pool/proof.go
+++ b/pool/proof.go
@@ -75,10 +75,10 @@
 	return max(n, named, listed)
 }
 
-// updateQuorum updates the set of lives that count towards the quorum, and the quorum time when it is needed.
+// updateQuorum updates the set of incarnations that count towards the quorum, and the quorum time when it is needed.
 //
-// Only lives count that were listed when the store last confirmed the lead. A life that has ended since counts as unreachable: at the end of a network
-// partition the first thing that an isolated leader may learn is that another leader has ended lives.
+// Only incarnations count that were listed when the store last confirmed the lead. An incarnation that has ended since counts as unreachable: at the end of a network
+// partition the first thing that an isolated leader may learn is that another leader has ended incarnations.
 func (c *session) updateQuorum(now time.Time) {
 	if c.confirmed(now) {
 		clear(c.readUnconfirmed)
@@ -118,36 +118,36 @@
 	if !c.majorityFencedAt.IsZero() {
 		return
 	}
-	// The lives that the earlier leader stored count even if they are not listed. Entries of the list lapse while the store is unavailable, and a leader
+	// The incarnations that the earlier leader stored count even if they are not listed. Entries of the list lapse while the store is unavailable, and a leader
 	// that took over at such a time would regard half of zero instances as sufficient.
-	instances := c.instanceCount(len(c.livesByMachine))
+	instances := c.instanceCount(len(c.incarnationsByMachine))
 	now = c.laterOf(now)
 	// This applies even before half of them have answered: if this leader is lost before that, the next one knows nothing about the leader before it.
 	if now.After(c.term.PredecessorRenewed.Add(raisedWithin(instances))) {
 		c.assumeUnstored("half of the workers were not heard in time")
 	}
-	if 2*c.answeredCount < instances || !c.earlierLivesHeard() {
+	if 2*c.answeredCount < instances || !c.earlierIncarnationsHeard() {
 		return
 	}
 	c.majorityFencedAt = now
 	c.reportTakeoverStep("fenced", now)
 }
 
-// earlierLivesHeard reports whether half of the lives that the earlier leader may have counted have this leader's token. Lives that started later are in none of
-// its majorities. A life that has ended can't answer it any more, but the earlier leader may have ended the life itself by a move and never have counted it,
-// so ended lives count on neither side.
-func (c *session) earlierLivesHeard() bool {
-	lives, heard := 0, 0
+// earlierIncarnationsHeard reports whether half of the incarnations that the earlier leader may have counted have this leader's token. Incarnations that started later are in none of
+// its majorities. An incarnation that has ended can't answer it any more, but the earlier leader may have ended the incarnation itself by a move and never have counted it,
+// so ended incarnations count on neither side.
+func (c *session) earlierIncarnationsHeard() bool {
+	incarnations, heard := 0, 0
 	for _, w := range c.workers {
 		if !w.knownAtTakeover {
 			continue
 		}
-		lives++
+		incarnations++
 		if w.answered {
 			heard++
 		}
 	}
-	return 2*heard >= lives
+	return 2*heard >= incarnations
 }
 
 // raisedWithin returns how soon after a renewal was read a successor must have its token at half of the instances to be certain that the leader that wrote the
--- a/pool/recordsize_test.go
+++ b/pool/recordsize_test.go
@@ -19,7 +19,7 @@
 	"rackstep.dev/feed"
 	"rackstep.dev/job"
 	"rackstep.dev/keep"
-	"rackstep.dev/upkeep"
+	"rackstep.dev/maintenance"
 )
 
 // Twice the size of the largest known fleet, and the limits of the users' store.
@@ -97,7 +97,7 @@
 		q := fmt.Sprintf("r-%07d", i)
 		x.statsOf(q).runs = 1
 		x.pool(fmt.Sprintf("pool-%04d", i)).meanRunSeconds = 1.5
-		x.turns.Observe(fmt.Sprintf("pool-%04d", i), upkeep.Load{Need: 1, Used: 1, Have: 1}, x.now())
+		x.turns.Observe(fmt.Sprintf("pool-%04d", i), maintenance.Load{Need: 1, Used: 1, Have: 1}, x.now())
 	}
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: testStepTasks, Need: job.Need{MilliCPU: 1}}}}, x.now())
 	x.jobs[j.Spec.ID] = j
@@ -123,9 +123,9 @@
 	}
 }
 
-// loseRun records a run that was lost with its worker's life.
+// loseRun records a run that was lost with its worker's incarnation.
 func (x *fullFixture) loseRun(t *job.Task, w *worker) {
-	t.Job.RecordLost(t, job.LostRun{Run: t.Run, Life: w.Life, Suspects: 3})
+	t.Job.RecordLost(t, job.LostRun{Run: t.Run, Incarnation: w.Incarnation, Suspects: 3})
 	t.Job.Version++
 	x.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
 }
@@ -146,26 +146,26 @@
 		for _, kind := range []string{"s", "l", "w", "wave", "lessons", "instances"} {
 			x.c.Check(x.largest[kind] > 0, quicktest.IsTrue, quicktest.Commentf("no record of kind %s was stored", kind))
 		}
-		x.c.Check(x.storedLives, quicktest.HasLen, testWorkers)
+		x.c.Check(x.storedIncarnations, quicktest.HasLen, testWorkers)
 	})
 }
 
-// TestALifeIsKeptByItsOwnRecord adds and removes lives. A change must write a single record, and the next leader must
-// read the lives that may have been given work.
-func TestALifeIsKeptByItsOwnRecord(t *testing.T) {
+// TestAnIncarnationIsKeptByItsOwnRecord adds and removes incarnations. A change must write a single record, and the next leader must
+// read the incarnations that may have been given work.
+func TestAnIncarnationIsKeptByItsOwnRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newFullFixture(quicktest.New(t))
 		for _, id := range []string{"w1", "w2", "w3"} {
 			x.applyWorkerRecord(id, []byte{1})
 		}
-		x.c.Assert(x.storedLives, quicktest.HasLen, 0)
+		x.c.Assert(x.storedIncarnations, quicktest.HasLen, 0)
 		x.commitAll()
-		x.c.Assert(x.storedLives, quicktest.HasLen, 3)
-		x.removeLife(x.workers["w2"], "it has left")
+		x.c.Assert(x.storedIncarnations, quicktest.HasLen, 3)
+		x.removeIncarnation(x.workers["w2"], "it has left")
 		before := x.calls
 		x.commitAll()
 		x.c.Assert(x.calls, quicktest.Equals, before+1)
-		x.c.Assert(x.state[lifeKey+"w2"], quicktest.HasLen, 0)
+		x.c.Assert(x.state[incarnationKey+"w2"], quicktest.HasLen, 0)
 		var page feed.KeyedPage
 		for key, value := range x.state {
 			if len(value) > 0 {
@@ -173,25 +173,25 @@
 			}
 		}
 		next := newFixture(x.c, nil)
-		next.storedLives = make(map[string]bool)
+		next.storedIncarnations = make(map[string]bool)
 		next.fillTables(page, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		x.c.Assert(next.workers, quicktest.HasLen, 2)
-		x.c.Assert(next.uncertainLives, quicktest.HasLen, 2)
-		x.c.Assert(next.dirtyLives.Empty(), quicktest.IsTrue)
+		x.c.Assert(next.uncertainIncarnations, quicktest.HasLen, 2)
+		x.c.Assert(next.dirtyIncarnations.Empty(), quicktest.IsTrue)
 	})
 }
 
-// TestTheOneRecordOfEarlierVersionsIsTakenApart takes over from a version that stored all lives in a single record.
+// TestTheOneRecordOfEarlierVersionsIsTakenApart takes over from a version that stored all incarnations in a single record.
 func TestTheOneRecordOfEarlierVersionsIsTakenApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newFullFixture(quicktest.New(t))
-		x.storedLives = make(map[string]bool)
-		x.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(x.c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}, {Life: "w2", Machine: "m-w2", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		x.storedIncarnations = make(map[string]bool)
+		x.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(x.c, workersKey, []keptWorker{{Incarnation: "w1", Machine: "m-w1", Pool: "p"}, {Incarnation: "w2", Machine: "m-w2", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		x.commitAll()
 		value, dropped := x.state[workersKey]
 		x.c.Assert(dropped && len(value) == 0, quicktest.IsTrue)
-		x.c.Assert(x.state[lifeKey+"w1"], quicktest.Not(quicktest.HasLen), 0)
-		x.c.Assert(x.state[lifeKey+"w2"], quicktest.Not(quicktest.HasLen), 0)
+		x.c.Assert(x.state[incarnationKey+"w1"], quicktest.Not(quicktest.HasLen), 0)
+		x.c.Assert(x.state[incarnationKey+"w2"], quicktest.Not(quicktest.HasLen), 0)
 	})
 }
 
@@ -266,7 +266,7 @@
 			}
 			return 1, nil
 		}
-		b.markLifeDirty("w1")
+		b.markIncarnationDirty("w1")
 		b.commit()
 		time.Sleep(3 * time.Second)
 		c.Assert(b.committing, quicktest.IsTrue)
@@ -280,13 +280,13 @@
 	})
 }
 
-// TestTheModeOfRecordsAsideEndsWithTheirJobs removes the life whose record is aside.
+// TestTheModeOfRecordsAsideEndsWithTheirJobs removes the incarnation whose record is aside.
 func TestTheModeOfRecordsAsideEndsWithTheirJobs(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, nil, "w1")
-	b.setAside(&commitBatch{aside: []keep.RejectedRecord{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
+	b.setAside(&commitBatch{aside: []keep.RejectedRecord{{Key: incarnationKey + "w1", Bytes: 1 << 20}}})
 	c.Assert(b.inMode(modeAside), quicktest.IsTrue)
-	b.removeLife(b.workers["w1"], "it has left")
+	b.removeIncarnation(b.workers["w1"], "it has left")
 	b.updateModes(time.Now())
 	c.Assert(b.inMode(modeAside), quicktest.IsFalse)
 }
--- a/pool/report.go
+++ b/pool/report.go
@@ -27,15 +27,15 @@
 
 func (m holdResult) apply(c *session) {
 	w := m.worker
-	if c.workers[w.Life] != w {
+	if c.workers[w.Incarnation] != w {
 		return
 	}
 	now := c.now()
 	switch {
 	case m.err != nil:
 		c.markSilent(w, m.err, m.failedAt, now)
-	case m.report.Refusal == work.OtherLife:
-		c.otherLifeAnswered(w, m.report.Answer)
+	case m.report.Refusal == work.OtherIncarnation:
+		c.otherIncarnationAnswered(w, m.report.Answer)
 	case m.report.Refusal == work.Fenced:
 		c.tokenRefused(w, m.token)
 	case m.report.Refusal != work.Accepted:
@@ -48,7 +48,7 @@
 // applyHoldAnswer applies the answer to a hold. A report is ignored if the worker's token was raised after the hold was sent.
 func (c *session) applyHoldAnswer(w *worker, m holdResult, now time.Time) {
 	w.askedAt = m.asked
-	c.endEarlierLives(w)
+	c.endEarlierIncarnations(w)
 	if m.token < w.requiredToken.Load() {
 		return
 	}
@@ -64,15 +64,15 @@
 	w.callFailedAt = at
 	if w.hasPendingStarts(now) {
 		c.silentPending.Add(1)
-		c.raiseToken(w) // the next life to answer must see a token above those of pending starts
+		c.raiseToken(w) // the next incarnation to answer must see a token above those of pending starts
 	}
-	c.emit(event.WorkerSilent, event.Subject{Instance: w.Life}, "machine=%s runs=%d leased=%v err=%q", w.Machine, len(w.runs), w.remainingLease(now), err)
+	c.emit(event.WorkerSilent, event.Subject{Instance: w.Incarnation}, "machine=%s runs=%d leased=%v err=%q", w.Machine, len(w.runs), w.remainingLease(now), err)
 }
 
 // applyReport applies a worker's report of running and ended runs.
 func (c *session) applyReport(w *worker, rep work.Report, now time.Time) {
 	if !w.silentSince.IsZero() {
-		c.emit(event.WorkerSilent, event.Subject{Instance: w.Life}, "answers again after %v runs=%d leased=%v", now.Sub(w.silentSince).Round(time.Millisecond), len(w.runs), w.remainingLease(now))
+		c.emit(event.WorkerSilent, event.Subject{Instance: w.Incarnation}, "answers again after %v runs=%d leased=%v", now.Sub(w.silentSince).Round(time.Millisecond), len(w.runs), w.remainingLease(now))
 		w.silentSince = time.Time{}
 		c.markPoolDirty(w.Pool)
 	}
@@ -117,12 +117,12 @@
 	w.answered = true
 	c.answeredCount++
 	if stopped, known := c.earlierStoppedBy(); w.knownAtTakeover || !known || !w.listedSince.After(stopped) || w.requiredToken.Load() > 0 {
-		w.boundLease(now.Add(work.MaxLocal(c.earlierLeaseOf(w)))) // an earlier leader, or a late call to the previous life, may have extended a lease for that long just before
+		w.boundLease(now.Add(work.MaxLocal(c.earlierLeaseOf(w)))) // an earlier leader, or a late call to the previous incarnation, may have extended a lease for that long just before
 	}
 	c.updateRaised(now)
-	c.endPreviousLives(w)
+	c.endPreviousIncarnations(w)
 	c.markPoolDirty(w.Pool) // also for jobs of an earlier leader that waited for this worker
-	delete(c.uncertainLives, w.Life)
+	delete(c.uncertainIncarnations, w.Incarnation)
 }
 
 // unstoredEnd returns what must be stored before the worker may forget the end.
@@ -210,7 +210,7 @@
 	if t.Phase != job.Waiting || t.Job.State.Ended() {
 		return false
 	}
-	t.Phase, t.Run, t.Worker, t.RunSince = job.Active, row.Run, w.Life, c.now()
+	t.Phase, t.Run, t.Worker, t.RunSince = job.Active, row.Run, w.Incarnation, c.now()
 	t.Job.Began = true
 	t.Job.Version++
 	c.dirtyJobs.Add(t.Job.Spec.ID, t.Job)
@@ -218,7 +218,7 @@
 	if row.Run>>runBits < c.term.Number {
 		c.assumeUnstored("a worker runs what was not kept")
 	}
-	c.emit(event.RunAdopted, event.Subject{Job: row.Task, Instance: w.Life}, "run=%d percent=%d", row.Run, row.Percent)
+	c.emit(event.RunAdopted, event.Subject{Job: row.Task, Instance: w.Incarnation}, "run=%d percent=%d", row.Run, row.Percent)
 	return true
 }
 
@@ -227,9 +227,9 @@
 	r.confirmed = max(r.confirmed, clock)
 	switch {
 	case r.carriedOver:
-		c.clearLate(t) // the life has answered under a token above those of all attempts
+		c.clearLate(t) // the incarnation has answered under a token above those of all attempts
 		if !r.confirmedEarlier {
-			c.retractLostRun(t, r.number) // the previous life has ended without having the run
+			c.retractLostRun(t, r.number) // the previous incarnation has ended without having the run
 		}
 	case r.unanswered:
 		c.attemptCarriedOut(t, r)
@@ -246,21 +246,21 @@
 func (c *session) resolveMissing(w *worker, t *job.Task, r *run, rep work.Report) {
 	switch {
 	case r.confirmed > 0 && rep.Clock > r.confirmed && len(rep.Ended) < endsPageSize:
-		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d confirmed=%d clock=%d", r.number, r.confirmed, rep.Clock)
+		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d confirmed=%d clock=%d", r.number, r.confirmed, rep.Clock)
 	case w.mustResendHandedOn(t, r, c.now()):
 		r.markForResend()
 		return
 	case r.carriedOver:
 		c.clearLate(t)
-		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d of the life before is not there", r.number)
+		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d of the life before is not there", r.number)
 	case r.fromEarlierLeader:
-		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d of an earlier leader is not there", r.number)
+		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d of an earlier leader is not there", r.number)
 	case w.pinned(t, r, c.now()):
 		return
 	case r.unanswered && rep.Clock > r.deadline:
-		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d never began: its deadline has passed", r.number)
+		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d never began: its deadline has passed", r.number)
 	case r.unanswered && r.stopped > 0 && rep.Clock > r.stopped+work.Clock(c.Bounds().Stop.Milliseconds()):
-		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d never began: it was stopped before", r.number)
+		c.emit(event.RunMissing, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d never began: it was stopped before", r.number)
 	default:
 		return
 	}
@@ -283,7 +283,7 @@
 		current = t.Run == e.Run && t.Phase != job.Finished
 	}
 	c.markPoolDirty(w.Pool)
-	c.emit(event.RunEnded, event.Subject{Job: e.Task, Instance: w.Life}, "run=%d how=%v n=%d", e.Run, e.Outcome, e.Seq)
+	c.emit(event.RunEnded, event.Subject{Job: e.Task, Instance: w.Incarnation}, "run=%d how=%v n=%d", e.Run, e.Outcome, e.Seq)
 	if e.Saved != "" {
 		t.Saved = e.Saved
 	}
@@ -346,7 +346,7 @@
 // failTask records the failure of a run, for its task and for its worker.
 func (c *session) failTask(w *worker, t *job.Task, e work.EndedRun, now time.Time) {
 	news := t.Job.Fail(t, e.Run, c.queue(t.Job).Attempts, now)
-	t.Avoid = w.Life
+	t.Avoid = w.Incarnation
 	if t.Spec().Lasting {
 		if now.Sub(t.RunSince) > earlyFailure {
 			t.Failures = 0
@@ -360,7 +360,7 @@
 	w.failures++
 	if w.failures >= quarantineAfter {
 		w.pauseStarts(now)
-		c.emit(event.WorkerQuarantined, event.Subject{Instance: w.Life}, "failures=%d rests until %v", w.failures, w.startsPausedUntil.Sub(now))
+		c.emit(event.WorkerQuarantined, event.Subject{Instance: w.Incarnation}, "failures=%d rests until %v", w.failures, w.startsPausedUntil.Sub(now))
 	}
 	if t.Job.State.Ended() {
 		c.stopJob(t.Job, "the job has failed")
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -31,8 +31,8 @@
 	Stop time.Duration
 	// Status is how long clients can ask for the state of an ended job.
 	Status time.Duration
-	// Upkeep and Move are how long an instance is unavailable during each.
-	Upkeep, Move time.Duration
+	// Maintenance and Move are how long an instance is unavailable during each.
+	Maintenance, Move time.Duration
 	// MaxAbsence is how long a lasting task may be down before it counts as missed.
 	MaxAbsence time.Duration
 	// MaxOverTarget is how long a serving task may exceed its latency target because of filling tasks on the same
@@ -44,7 +44,7 @@
 type Wave struct {
 	Number   int64
 	Machines []string
-	// Within is the time in which all upkeeps must begin; MaxAway is how many instances may be unavailable at once.
+	// Within is the time in which all maintenance must begin; MaxAway is how many instances may be unavailable at once.
 	Within  time.Duration
 	MaxAway int
 }
@@ -56,7 +56,7 @@
 const (
 	MachineUp MachineState = iota
 	MachineMoving
-	MachineInUpkeep
+	MachineInMaintenance
 	MachineDown
 )
 
@@ -74,14 +74,14 @@
 
 // Machines is the machine interface, implemented by an adapter.
 //
-// Upkeep and Move are idempotent: they return nil if the same call was carried out before. Otherwise ErrBusy,
+// Maintenance and Move are idempotent: they return nil if the same call was carried out before. Otherwise ErrBusy,
 // ErrFenced and other errors tell why nothing was done.
 type Machines struct {
-	// PerSecond is the rate limit of Upkeep and Move calls, over all entries; 0 means no limit.
-	PerSecond float64
-	List      func(ctx context.Context) ([]Machine, error)
-	Upkeep    func(ctx context.Context, machine string, wave, fence int64) error
-	Move      func(ctx context.Context, machine, pool string, fence int64) error
+	// PerSecond is the rate limit of Maintenance and Move calls, over all entries; 0 means no limit.
+	PerSecond   float64
+	List        func(ctx context.Context) ([]Machine, error)
+	Maintenance func(ctx context.Context, machine string, wave, fence int64) error
+	Move        func(ctx context.Context, machine, pool string, fence int64) error
 }
 
 // Errors of the machine interface.
@@ -92,10 +92,10 @@
 	ErrNotInWave = errors.New("instance is unknown or not part of the wave")
 )
 
-// Ticket permits one life of a worker to run a step.
+// Ticket permits one incarnation of a worker to run a step.
 type Ticket struct {
-	Life, Ticket string
-	Until        time.Time
+	Incarnation, Ticket string
+	Until               time.Time
 }
 
 // Scheduler is the part of an entry that schedules tasks while the entry leads.
@@ -110,11 +110,11 @@
 	// Workers is the topic that lists the live workers.
 	Workers feed.Topic
 	// ParseWorker decodes a record of Workers.
-	ParseWorker func(life string, value []byte) (work.Worker, error)
+	ParseWorker func(incarnation string, value []byte) (work.Worker, error)
 	Calls       work.Calls
 	Machines    Machines
 	// Advise asks which workers may run a step.
-	Advise func(ctx context.Context, step string, lives []string) ([]Ticket, error)
+	Advise func(ctx context.Context, step string, incarnations []string) ([]Ticket, error)
 	// PutWave writes a wave's state for the operator.
 	PutWave func(ctx context.Context, wave int64, done bool) error
 	Events  *event.Ring
--- a/pool/scheduler_bench_test.go
+++ b/pool/scheduler_bench_test.go
@@ -32,11 +32,11 @@
 // newBenchLeader returns a leader of that many workers and a backlog of waiting jobs, each task of which takes almost a
 // whole worker.
 func newBenchLeader(c *quicktest.C, workers, backlog int) *benchLeader {
-	var lives []string
+	var incarnations []string
 	for i := range workers {
-		lives = append(lives, fmt.Sprint("w", i))
+		incarnations = append(incarnations, fmt.Sprint("w", i))
 	}
-	t := &benchLeader{fixture: newFixture(c, nil, lives...), clock: 10, unreportedEnds: make(map[*worker][]work.EndedRun), lastEndNumbers: make(map[*worker]int64)}
+	t := &benchLeader{fixture: newFixture(c, nil, incarnations...), clock: 10, unreportedEnds: make(map[*worker][]work.EndedRun), lastEndNumbers: make(map[*worker]int64)}
 	t.ParseWorker = nil
 	for _, w := range t.workers {
 		w.Pool = "p"
@@ -47,8 +47,8 @@
 	t.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 		return work.Answer{Clock: t.clock}, nil
 	}
-	for _, life := range lives {
-		t.report(life, t.clock, nil)
+	for _, incarnation := range incarnations {
+		t.report(incarnation, t.clock, nil)
 	}
 	for range backlog {
 		t.submit(15900)
@@ -92,7 +92,7 @@
 func (t *benchLeader) reportEnds() {
 	t.clock += 1000
 	for w, ends := range t.unreportedEnds {
-		t.report(w.Life, t.clock, nil, ends...)
+		t.report(w.Incarnation, t.clock, nil, ends...)
 		delete(t.unreportedEnds, w)
 	}
 }
@@ -150,28 +150,28 @@
 		s := &job.Spec{ID: fmt.Sprintf("%016x", i), Queue: "q", Pool: "p", Steps: []job.Step{{Count: 8, Need: job.Need{MilliCPU: 500}}}}
 		jobs = append(jobs, job.New(s, time.Now()))
 	}
-	var lives []string
+	var incarnations []string
 	var earlier []keptWorker
 	for i := range 1100 {
-		lives = append(lives, fmt.Sprint("w", i))
-		earlier = append(earlier, keptWorker{Life: lives[i], Machine: "m-" + lives[i], Pool: "p"})
+		incarnations = append(incarnations, fmt.Sprint("w", i))
+		earlier = append(earlier, keptWorker{Incarnation: incarnations[i], Machine: "m-" + incarnations[i], Pool: "p"})
 	}
 	for b.Loop() {
 		b.StopTimer()
-		t := newFixture(c, jobs, lives...)
+		t := newFixture(c, jobs, incarnations...)
 		t.term = lead.Term{Number: 2, Fence: 2 << 16}
 		for _, k := range earlier {
-			t.uncertainLives[k.Life] = t.workers[k.Life]
+			t.uncertainIncarnations[k.Incarnation] = t.workers[k.Incarnation]
 		}
 		b.StartTimer()
-		for _, life := range lives {
-			t.report(life, 10, nil)
+		for _, incarnation := range incarnations {
+			t.report(incarnation, 10, nil)
 		}
 	}
 }
 
 // BenchmarkTickAtAThousandWorkers measures the periodic work, which runs ten times a second, with 1,100 instances, 1,000
-// waiting jobs and an upkeep wave over half of the instances.
+// waiting jobs and a maintenance wave over half of the instances.
 func BenchmarkTickAtAThousandWorkers(b *testing.B) { benchTick(b, 1100, 1000) }
 
 // BenchmarkTickAtThreeThousandWorkers, BenchmarkTickOfTheFleet and BenchmarkTickOfTwiceTheFleet measure the same at larger
@@ -189,8 +189,8 @@
 	}
 	t.PutWave = func(context.Context, int64, bool) error { return nil }
 	wave := Wave{Number: 1, MaxAway: 1, Within: time.Hour}
-	for life, w := range t.workers {
-		t.machines[w.Machine] = Machine{Name: w.Machine, Pool: w.Pool, ID: life, Labels: []string{"kind", "rack"}}
+	for incarnation, w := range t.workers {
+		t.machines[w.Machine] = Machine{Name: w.Machine, Pool: w.Pool, ID: incarnation, Labels: []string{"kind", "rack"}}
 		if len(wave.Machines) < workers/2 {
 			wave.Machines = append(wave.Machines, w.Machine)
 		}
--- a/pool/session.go
+++ b/pool/session.go
@@ -14,9 +14,9 @@
 	"rackstep.dev/job"
 	"rackstep.dev/keep"
 	"rackstep.dev/lead"
+	"rackstep.dev/maintenance"
 	"rackstep.dev/org"
 	"rackstep.dev/place"
-	"rackstep.dev/upkeep"
 )
 
 // Timing of the control loop.
@@ -45,21 +45,21 @@
 	jobs    map[string]*job.Job
 	pools   map[string]*poolRow
 	workers map[string]*worker
-	// livesByMachine indexes workers by instance. answeredCount counts the lives that have answered this leader.
-	livesByMachine map[string][]*worker
-	answeredCount  int
-	// livesByID indexes workers by worker ID.
-	livesByID map[string][]*worker
-	// tokens holds the fencing token of each worker ID, including IDs that no life has any more.
+	// incarnationsByMachine indexes workers by instance. answeredCount counts the incarnations that have answered this leader.
+	incarnationsByMachine map[string][]*worker
+	answeredCount         int
+	// incarnationsByID indexes workers by worker ID.
+	incarnationsByID map[string][]*worker
+	// tokens holds the fencing token of each worker ID, including IDs that no incarnation has any more.
 	tokens map[string]*atomic.Int64
 	// foreign holds the entries in the list of workers that do not describe a usable worker.
 	foreign unusableEntries
-	// endedLives holds the lives that have ended.
-	endedLives map[string]bool
-	// dirtyJobs and dirtyLives hold the jobs and lives with unstored changes. legacyWorkersRecord is set while the
-	// store still holds the single record of all lives that earlier versions wrote.
+	// endedIncarnations holds the incarnations that have ended.
+	endedIncarnations map[string]bool
+	// dirtyJobs and dirtyIncarnations hold the jobs and incarnations with unstored changes. legacyWorkersRecord is set while the
+	// store still holds the single record of all incarnations that earlier versions wrote.
 	dirtyJobs           keep.DirtyRows[*job.Job]
-	dirtyLives          keep.DirtyRows[struct{}]
+	dirtyIncarnations   keep.DirtyRows[struct{}]
 	legacyWorkersRecord bool
 	// writer appends to the state topic. It is used only by the append in progress.
 	writer *keep.Writer
@@ -88,9 +88,9 @@
 	unknownTasks map[string]time.Time
 	// inheritedJobs holds the jobs that an earlier leader may have started.
 	inheritedJobs map[string]bool
-	// uncertainLives holds the lives that may still run what an earlier leader started. It is relevant until
+	// uncertainIncarnations holds the incarnations that may still run what an earlier leader started. It is relevant until
 	// doubtOver.
-	uncertainLives map[string]*worker
+	uncertainIncarnations map[string]*worker
 	// takeoverSteps holds the steps of the takeover that have been reached.
 	takeoverSteps map[string]bool
 	// soleLeaderFrom is the time from which the earlier leader certainly makes no more calls to the machine
@@ -113,10 +113,10 @@
 	startsInFlight int
 	committing     bool
 	// inFlight is the batch being appended; commitStartedAt is when its append began.
-	inFlight         *commitBatch
-	commitStartedAt  time.Time
-	typicalBatchTime time.Duration // running average of the time that the store takes for a batch
-	storedLives      map[string]bool
+	inFlight           *commitBatch
+	commitStartedAt    time.Time
+	typicalBatchTime   time.Duration // running average of the time that the store takes for a batch
+	storedIncarnations map[string]bool
 	// intakeReadUntil is, for each partition of the intake, the time before which everything submitted has been read.
 	intakeReadUntil []time.Time
 	intakeOffsets   []int64
@@ -149,14 +149,14 @@
 	cpuShortage        cpuShortage
 	fleetScan          scanPacer      // paces the scans over all instances: waves and the sizes of pools
 	surplus            map[string]int // number of instances that each pool could give up, according to the latest sizing
-	turns              upkeep.Bursts
+	turns              maintenance.Bursts
 	meanCapacity       job.Need // mean capacity of an instance
 	startedAt          time.Time
 	lessons            map[string]*queueStats
 	lessonsStoredAt    time.Time // when the lessons were last stored
 	// sideKeys is the set of keys of the stored side records of jobs.
 	sideKeys map[string]bool
-	// silentPending counts the silent workers whose next life may carry out an unanswered start.
+	// silentPending counts the silent workers whose next incarnation may carry out an unanswered start.
 	silentPending atomic.Int32
 	// trials holds the workers on which a suspect task is being tried.
 	trials map[*worker]bool
@@ -171,11 +171,11 @@
 func newSession(s *Scheduler, t lead.Term) *session {
 	c := &session{
 		Scheduler: s, term: t, startedAt: s.now(), inbox: newInbox(), ended: make(chan struct{}), config: s.catalog.Load(),
-		jobs: make(map[string]*job.Job), pools: make(map[string]*poolRow), workers: make(map[string]*worker), livesByMachine: make(map[string][]*worker), livesByID: make(map[string][]*worker), tokens: make(map[string]*atomic.Int64), endedLives: make(map[string]bool),
+		jobs: make(map[string]*job.Job), pools: make(map[string]*poolRow), workers: make(map[string]*worker), incarnationsByMachine: make(map[string][]*worker), incarnationsByID: make(map[string][]*worker), tokens: make(map[string]*atomic.Int64), endedIncarnations: make(map[string]bool),
 		unstoredJobs: make(map[*job.Job]int64), unacked: make(map[*worker]bool), maxBatchBytes: cmp.Or(s.MaxBatchBytes, batchMax), notDue: make(map[string]*job.Job), inheritedJobs: make(map[string]bool), unknownTasks: make(map[string]time.Time), readUnconfirmed: make(map[string]bool),
 		intakeReadUntil: make([]time.Time, len(s.Intake)), intakeOffsets: make([]int64, len(s.Intake)),
 		intakePartitions: make(map[job.QualifiedID]uint64), cancelled: make(map[job.QualifiedID]bool), idConflicts: make(map[job.QualifiedID]*idConflict),
-		uncertainLives: make(map[string]*worker), takeoverSteps: make(map[string]bool), storedLives: make(map[string]bool), waveStates: make(map[int64]*waveState), drains: make(drains), firstHoldSemaphore: newCallSemaphore(),
+		uncertainIncarnations: make(map[string]*worker), takeoverSteps: make(map[string]bool), storedIncarnations: make(map[string]bool), waveStates: make(map[int64]*waveState), drains: make(drains), firstHoldSemaphore: newCallSemaphore(),
 		machines: make(map[string]Machine), tickets: make(map[string]*stepTickets),
 		moves: make(map[string]*pendingMove), sideKeys: make(map[string]bool), trials: make(map[*worker]bool), fenced: make(map[string]bool), fencing: make(map[string]bool), lessons: make(map[string]*queueStats), unmovable: make(map[string]time.Time), movedAt: make(map[string]time.Time),
 	}
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -26,13 +26,13 @@
 }
 
 // newFixture returns a session that has taken over stored jobs and listed workers of the pool "p".
-func newFixture(c *quicktest.C, jobs []*job.Job, lives ...string) *fixture {
+func newFixture(c *quicktest.C, jobs []*job.Job, incarnations ...string) *fixture {
 	s := &Scheduler{
 		Entry: "e", Intake: make([]feed.Topic, 1), Events: &event.Ring{},
 		State: feed.Topic{Append: func(context.Context, feed.Batch) (int64, error) { return 1, nil }},
 		Lost:  func(int64) {}, AnnounceUnstoredOrders: func(bool) {}, PublishEarlierLeaders: func(bool, bool) {}, UnstoredOrdersAnnounced: func() bool { return false }, ConfirmedAt: time.Now,
-		ParseWorker: func(life string, _ []byte) (work.Worker, error) {
-			return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		ParseWorker: func(incarnation string, _ []byte) (work.Worker, error) {
+			return work.Worker{Incarnation: incarnation, Machine: "m-" + incarnation, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 		},
 		Machines: Machines{
 			List: func(context.Context) ([]Machine, error) { return nil, ErrBusy },
@@ -64,9 +64,9 @@
 		intake.Records = append(intake.Records, record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec))
 		state.Records = append(state.Records, record(c, stateKey+j.Spec.ID, j.Stored()))
 	}
-	for i, life := range lives {
-		list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
-		b.storedLives[life] = true
+	for i, incarnation := range incarnations {
+		list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: incarnation, Value: []byte{1}})
+		b.storedIncarnations[incarnation] = true
 	}
 	b.fillTables(state, []feed.KeyedPage{intake}, list)
 	return b
@@ -84,9 +84,9 @@
 }
 
 // report applies a report of a worker.
-func (b *fixture) report(life string, clock work.Clock, running []work.RunStatus, ended ...work.EndedRun) {
+func (b *fixture) report(incarnation string, clock work.Clock, running []work.RunStatus, ended ...work.EndedRun) {
 	b.c.Helper()
-	w := b.workers[life]
+	w := b.workers[incarnation]
 	b.c.Assert(w, quicktest.IsNotNil)
 	holdResult{worker: w, token: w.token.Load(), asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: clock}, Running: running, Ended: ended}}.apply(b.session)
 }
@@ -159,10 +159,10 @@
 		c := quicktest.New(t)
 		b := newFixture(c, nil)
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
-		b.storedLives = make(map[string]bool)
+		b.storedIncarnations = make(map[string]bool)
 		var earlier []keptWorker
-		for _, life := range []string{"w1", "w2", "w3", "w4"} {
-			earlier = append(earlier, keptWorker{Life: life, Machine: "m-" + life, Pool: "p", Address: "a"})
+		for _, incarnation := range []string{"w1", "w2", "w3", "w4"} {
+			earlier = append(earlier, keptWorker{Incarnation: incarnation, Machine: "m-" + incarnation, Pool: "p", Address: "a"})
 		}
 		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, earlier)}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		b.checkLeases(time.Now())
@@ -184,12 +184,12 @@
 		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		list := feed.KeyedPage{}
-		for i, life := range []string{"w1", "w2", "w3", "w4"} {
-			list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
+		for i, incarnation := range []string{"w1", "w2", "w3", "w4"} {
+			list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: incarnation, Value: []byte{1}})
 		}
 		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, instancesKey, 12)}}, []feed.KeyedPage{{}}, list)
-		for _, life := range []string{"w1", "w2", "w3", "w4"} {
-			b.report(life, 10, nil)
+		for _, incarnation := range []string{"w1", "w2", "w3", "w4"} {
+			b.report(incarnation, 10, nil)
 		}
 		b.updateQuorum(time.Now())
 		b.computeQuorumTime()
@@ -249,16 +249,16 @@
 	c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 }
 
-func TestAListNamesNoLifeAheadOfOneThatAnswers(t *testing.T) {
+func TestAListNamesNoIncarnationAheadOfOneThatAnswers(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, []*job.Job{jobWithTasks(1)}, "w1")
 	b.report("w1", 100, nil)
-	b.ParseWorker = func(life string, _ []byte) (work.Worker, error) {
-		return work.Worker{Life: life, Machine: "m-w1", Pool: "p"}, nil
+	b.ParseWorker = func(incarnation string, _ []byte) (work.Worker, error) {
+		return work.Worker{Incarnation: incarnation, Machine: "m-w1", Pool: "p"}, nil
 	}
 	b.applyWorkerRecord("w0", []byte{1})
 	c.Assert(b.workers["w1"], quicktest.IsNotNil)
-	b.report("w0", 5, nil) // it answers, so it is the instance's current life
+	b.report("w0", 5, nil) // it answers, so it is the instance's current incarnation
 	c.Assert(b.workers["w1"], quicktest.IsNil)
 	c.Assert(b.applyWorkerRecord("w1", []byte{1}), quicktest.IsNil, quicktest.Commentf("a life that has ended must stay ended"))
 }
@@ -289,9 +289,9 @@
 	}{{"today", 48, 200}, {"grown", 349, 1000}, {"in two years", 780, 3400}} {
 		b.Run(size.name, func(b *testing.B) {
 			c := quicktest.New(b)
-			var lives []string
+			var incarnations []string
 			for i := range size.workers {
-				lives = append(lives, "w"+time.Duration(i).String())
+				incarnations = append(incarnations, "w"+time.Duration(i).String())
 			}
 			var jobs []*job.Job
 			for i := range size.jobs {
@@ -299,7 +299,7 @@
 				j.Spec.ID = time.UnixMilli(int64(i)).UTC().Format("0000000150405.000")
 				jobs = append(jobs, j)
 			}
-			s := newFixture(c, jobs, lives...)
+			s := newFixture(c, jobs, incarnations...)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.runTimers(time.Now())
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -98,7 +98,7 @@
 		b := newFixture(c, nil, "w1", "w2")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.earlierUnstored = true
-		b.uncertainLives["w1"] = b.workers["w1"]
+		b.uncertainIncarnations["w1"] = b.workers["w1"]
 		b.majorityFencedAt = time.Now()
 		b.setCap(6000)
 		b.report("w2", 10, nil)
@@ -119,8 +119,8 @@
 		b := newFixture(c, nil, "w1", "w2", "w3", "w4")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.earlierUnstored, b.majorityFencedAt = true, time.Now()
-		for _, life := range []string{"w1", "w2", "w3"} {
-			b.uncertainLives[life] = b.workers[life]
+		for _, incarnation := range []string{"w1", "w2", "w3"} {
+			b.uncertainIncarnations[incarnation] = b.workers[incarnation]
 		}
 		b.setCap(5000)
 		b.report("w4", 10, nil)
@@ -138,8 +138,8 @@
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1", "w2", "w3")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
-		for _, life := range []string{"w1", "w2"} {
-			b.uncertainLives[life] = b.workers[life]
+		for _, incarnation := range []string{"w1", "w2"} {
+			b.uncertainIncarnations[incarnation] = b.workers[incarnation]
 		}
 		b.setCap(9000)
 		b.report("w3", 10, nil)
@@ -152,14 +152,14 @@
 	})
 }
 
-// TestALifeOutOfTheListCountsAsLargeAsAny guards against ignoring a stored incarnation that is no longer listed, so that its capacity is unknown. A
+// TestAnIncarnationOutOfTheListCountsAsLargeAsAny guards against ignoring a stored incarnation that is no longer listed, so that its capacity is unknown. A
 // previous leader that was partitioned continued to start runs there. Found by random histories (seed 2929).
-func TestALifeOutOfTheListCountsAsLargeAsAny(t *testing.T) {
+func TestAnIncarnationOutOfTheListCountsAsLargeAsAny(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w2")
 		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
-		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
+		b.fillTables(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Incarnation: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		b.majorityFencedAt = time.Now()
 		b.setCap(6000)
 		b.report("w2", 10, nil)
@@ -194,8 +194,8 @@
 			b := newFixture(c, nil, "w1", "w2", "w3")
 			b.setCap(5000)
 			clock, newest := work.Clock(10), make(map[string]int64)
-			for _, life := range []string{"w1", "w2", "w3"} {
-				b.report(life, clock, nil)
+			for _, incarnation := range []string{"w1", "w2", "w3"} {
+				b.report(incarnation, clock, nil)
 			}
 			for step := range 60 {
 				switch r.IntN(6) {
@@ -209,20 +209,20 @@
 				case 3:
 					if len(b.workers) > 1 && r.IntN(5) == 0 {
 						for _, w := range b.workers {
-							b.endLife(w, "test")
+							b.endIncarnation(w, "test")
 							break
 						}
 					}
 				default:
 					clock += 100
-					for life, w := range b.workers {
+					for incarnation, w := range b.workers {
 						var rows []work.RunStatus
 						var ends []work.EndedRun
 						for t, x := range w.runs {
 							switch {
 							case r.IntN(3) == 0:
-								newest[life]++
-								ends = append(ends, work.EndedRun{Seq: newest[life], Task: t.Name(), Run: x.number, Outcome: []work.Outcome{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
+								newest[incarnation]++
+								ends = append(ends, work.EndedRun{Seq: newest[incarnation], Task: t.Name(), Run: x.number, Outcome: []work.Outcome{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
 							case x.sent:
 								rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number})
 							}
@@ -230,7 +230,7 @@
 								rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number + 1000})
 							}
 						}
-						b.report(life, clock, rows, ends...)
+						b.report(incarnation, clock, rows, ends...)
 					}
 				}
 				for _, name := range [...]string{"a", "b"} {
--- a/pool/simchecks_test.go
+++ b/pool/simchecks_test.go
@@ -149,11 +149,11 @@
 	return count
 }
 
-// checkUpkeep reports an upkeep that takes more instances of a wave down at once than the wave allows. The lock must be held.
-func (sim *simulation) checkUpkeep(wave int64, name, by string) {
+// checkMaintenance reports a maintenance that takes more instances of a wave down at once than the wave allows. The lock must be held.
+func (sim *simulation) checkMaintenance(wave int64, name, by string) {
 	var down []string
 	for _, m := range sim.machines {
-		if m.upkeepWave == wave {
+		if m.maintenanceWave == wave {
 			down = append(down, m.name)
 		}
 	}
--- a/pool/simmachines_test.go
+++ b/pool/simmachines_test.go
@@ -64,17 +64,17 @@
 				return nil
 			})
 		},
-		Upkeep: func(ctx context.Context, name string, wave, fence int64) error {
+		Maintenance: func(ctx context.Context, name string, wave, fence int64) error {
 			return change(ctx, name, fence, func(m *machine, delayed bool) error {
 				switch {
-				case m.upkeepDone[wave]:
+				case m.maintenanceDone[wave]:
 					return nil
 				case m.busy:
 					return pool.ErrBusy
 				}
-				sim.checkUpkeep(wave, name, entry)
+				sim.checkMaintenance(wave, name, entry)
 				m.incarnation.terminate(entry+" with an upkeep", delayed)
-				m.upkeepDone[wave], m.upkeepWave = true, wave
+				m.maintenanceDone[wave], m.maintenanceWave = true, wave
 				sim.restart(m, simMoveTime)
 				return nil
 			})
@@ -92,8 +92,8 @@
 			x.ID = m.incarnation.name
 		}
 		switch {
-		case m.upkeepWave > 0:
-			x.State = pool.MachineInUpkeep
+		case m.maintenanceWave > 0:
+			x.State = pool.MachineInMaintenance
 		case m.busy:
 			x.State = pool.MachineMoving
 		}
--- a/pool/simulation_test.go
+++ b/pool/simulation_test.go
@@ -30,7 +30,7 @@
 	simStopTime = 900 * time.Millisecond
 	// simNotice is how long a lasting task may be absent before it counts as away.
 	simNotice = 4500 * time.Millisecond
-	// simMoveTime is how long a move or an upkeep takes an instance down.
+	// simMoveTime is how long a move or a maintenance takes an instance down.
 	simMoveTime = 1500 * time.Millisecond
 	// simHeartbeat is the interval at which workers renew their entries in the list.
 	simHeartbeat = 1500 * time.Millisecond
@@ -100,7 +100,7 @@
 	// maxExtraTime is the most that a task takes beyond 200 ms.
 	maxExtraTime time.Duration
 	// idReuseRate is the share of restarted workers that keep the ID of the incarnation before. When it is above 0, workers
-	// report their births; since clocks jump, a birth may be earlier than that of the incarnation before.
+	// report their boot IDs; since clocks jump, a boot ID may be earlier than that of the incarnation before.
 	idReuseRate float64
 	// lateOrderRate is the share of orders that workers carry out late and do not answer.
 	lateOrderRate float64
@@ -113,7 +113,7 @@
 	drained      []string
 	// tracef writes a line of the trace. It is nil when tracing is off.
 	tracef func(text string, args ...any)
-	// waveRequests holds the upkeep waves that the operator has requested.
+	// waveRequests holds the maintenance waves that the operator has requested.
 	waveRequests []pool.Wave
 }
 
@@ -133,9 +133,9 @@
 	fence            int64
 	busy             bool
 	// lastID is the worker ID of the latest incarnation. The next one may reuse it if that one crashes.
-	lastID     string
-	upkeepDone map[int64]bool
-	upkeepWave int64
+	lastID          string
+	maintenanceDone map[int64]bool
+	maintenanceWave int64
 }
 
 // incarnation is one process of a worker, from its start to its end, with its own clock.
@@ -144,7 +144,7 @@
 	machine       *machine
 	pool          string
 	sim           *simulation
-	birth         work.Birth
+	bootID        work.BootID
 	startedAt     time.Time
 	clockRate     float64
 	dead          bool
@@ -199,12 +199,12 @@
 		cancelledAt: make(map[string]time.Time), drainedSince: make(map[string]time.Time),
 	}
 	for i := range zones * workers {
-		m := &machine{name: fmt.Sprintf("m%02d", i), pool: fmt.Sprint("p", i%2), zone: fmt.Sprint("z", i%zones), upkeepDone: make(map[int64]bool)}
+		m := &machine{name: fmt.Sprintf("m%02d", i), pool: fmt.Sprint("p", i%2), zone: fmt.Sprint("z", i%zones), maintenanceDone: make(map[int64]bool)}
 		sim.machines[m.name] = m
 		sim.startIncarnation(m)
 	}
 	for i := range zones {
-		m := &machine{name: fmt.Sprintf("off%d", i), pool: "off", zone: fmt.Sprint("z", i), upkeepDone: make(map[int64]bool)}
+		m := &machine{name: fmt.Sprintf("off%d", i), pool: "off", zone: fmt.Sprint("z", i), maintenanceDone: make(map[int64]bool)}
 		sim.machines[m.name] = m
 	}
 	go sim.runHeartbeats()
@@ -235,7 +235,7 @@
 		runEnded: make(chan struct{}), stoppedRuns: make(map[string]int64),
 	}
 	if sim.idReuseRate > 0 {
-		l.birth = sim.newBirth()
+		l.bootID = sim.newBootID()
 	}
 	if before != nil && before.name == name {
 		l.staleEntry, l.heartbeatAt = before.listed || before.staleEntry, before.heartbeatAt
@@ -245,10 +245,10 @@
 	sim.zones[l.name] = m.zone
 }
 
-// newBirth returns a birth that no incarnation has had. The time of day jumps by up to an hour either way.
-func (sim *simulation) newBirth() work.Birth {
+// newBootID returns a boot ID that no incarnation has had. The time of day jumps by up to an hour either way.
+func (sim *simulation) newBootID() work.BootID {
 	jump := time.Duration(sim.r.Int64N(int64(2*time.Hour))) - time.Hour
-	return work.Birth(time.Now().Add(jump).UnixMilli()/1000*1000 + int64(sim.created))
+	return work.BootID(time.Now().Add(jump).UnixMilli()/1000*1000 + int64(sim.created))
 }
 
 // runHeartbeats lists every worker that reaches the store, and removes the entries of those that are silent.
@@ -263,7 +263,7 @@
 			case !l.dead && !closed && (!l.listed || now.Sub(l.heartbeatAt) >= simHeartbeat):
 				b, _ := json.Marshal(map[string]string{
 					"machine": l.machine.name, "pool": l.pool, "zone": l.machine.zone,
-					"room": strconv.Itoa(sim.capacity - l.capacityLoss), "birth": strconv.FormatInt(int64(l.birth), 10),
+					"room": strconv.Itoa(sim.capacity - l.capacityLoss), "birth": strconv.FormatInt(int64(l.bootID), 10),
 				})
 				if sim.corrupts != nil && sim.corrupts(l) {
 					b = b[:len(b)/2]
@@ -295,7 +295,7 @@
 		return work.Worker{}, err
 	}
 	return work.Worker{
-		Life: name, ID: name, Birth: work.Birth(born), Machine: x["machine"], Pool: x["pool"], DataCentre: x["zone"], Address: name,
+		Incarnation: name, ID: name, BootID: work.BootID(born), Machine: x["machine"], Pool: x["pool"], DataCentre: x["zone"], Address: name,
 		Capacity: job.Need{MilliCPU: room, MemoryMB: room},
 	}, nil
 }
@@ -431,7 +431,7 @@
 	}
 	s.SetBounds(pool.Bounds{
 		Lease: simLease, Stop: simStopTime, Status: 10 * time.Minute,
-		Upkeep: simMoveTime, Move: simMoveTime, MaxAbsence: simNotice, MaxOverTarget: 4 * time.Second,
+		Maintenance: simMoveTime, Move: simMoveTime, MaxAbsence: simNotice, MaxOverTarget: 4 * time.Second,
 	})
 	s.SetCatalog(&job.Catalog{
 		Version: 1,
--- a/pool/simworkers_test.go
+++ b/pool/simworkers_test.go
@@ -79,11 +79,11 @@
 	switch {
 	case down:
 		return nil, errUnsent
-	case x.Birth == 0 || to == nil || to.birth == x.Birth:
+	case x.BootID == 0 || to == nil || to.bootID == x.BootID:
 	case cutOff:
 		to = new(incarnation) // an old connection, or one made when the partition ends: no other incarnation gets the call
 	default:
-		return &work.Answer{Refusal: work.OtherLife, Birth: to.birth}, nil
+		return &work.Answer{Refusal: work.OtherIncarnation, BootID: to.bootID}, nil
 	}
 	return nil, sim.call(ctx, entry, x.ID, late, 0, func(delayed, late bool) {
 		if late || sim.idReuseRate == 0 {
@@ -102,7 +102,7 @@
 	case sim.isDown(l), to != nil && to != l:
 		return nil
 	case l == nil || l.dead:
-		return &work.Answer{Refusal: work.OtherLife}
+		return &work.Answer{Refusal: work.OtherIncarnation}
 	}
 	a := exec(l)
 	return &a
@@ -300,7 +300,7 @@
 	}
 	if l == nil || l.dead {
 		sim.mu.Unlock()
-		return &work.Report{Answer: work.Answer{Refusal: work.OtherLife}}
+		return &work.Report{Answer: work.Answer{Refusal: work.OtherIncarnation}}
 	}
 	if l.rejectsToken(o.Fence) {
 		defer sim.mu.Unlock()
@@ -330,10 +330,10 @@
 	case l.dead && sim.idReuseRate > 0:
 		return nil // the crash broke its connections
 	case l.dead:
-		return &work.Report{Answer: work.Answer{Refusal: work.OtherLife}}
+		return &work.Report{Answer: work.Answer{Refusal: work.OtherIncarnation}}
 	}
 	rep := &work.Report{Answer: l.answer(work.Accepted)}
-	rep.Birth = l.birth
+	rep.BootID = l.bootID
 	for _, x := range l.runs {
 		switch {
 		case x.endedAt.IsZero():
@@ -383,7 +383,7 @@
 	time.AfterFunc(after, func() {
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		m.busy, m.upkeepWave = false, 0
+		m.busy, m.maintenanceWave = false, 0
 		sim.startIncarnation(m)
 	})
 }
--- a/pool/size.go
+++ b/pool/size.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"rackstep.dev/event"
-	"rackstep.dev/upkeep"
+	"rackstep.dev/maintenance"
 )
 
 // Timing of moves.
@@ -26,8 +26,8 @@
 
 // pendingMove is the move of an instance to another pool.
 type pendingMove struct {
-	to, life string
-	since    time.Time
+	to, incarnation string
+	since           time.Time
 	// inFlight means that a call is in progress, moved that the move has succeeded, queued that the call waits for the rate limit.
 	inFlight, moved, queued bool
 	notBefore               time.Time
@@ -45,30 +45,30 @@
 	c.advanceMoves(now)
 	c.cancelQueuedMoves()
 	pools, instances := c.sizingInputs(now)
-	c.surplus = upkeep.Surplus(pools)
-	for _, m := range upkeep.Moves(pools, instances) {
+	c.surplus = maintenance.Surplus(pools)
+	for _, m := range maintenance.Moves(pools, instances) {
 		c.startMove(m, now)
 	}
 }
 
-// sizingInputs returns the pools and the instances in the form that package upkeep expects.
-func (c *session) sizingInputs(now time.Time) ([]upkeep.Pool, []upkeep.Instance) {
-	rows := make(map[string]*upkeep.Pool)
-	var pools []upkeep.Pool
+// sizingInputs returns the pools and the instances in the form that package maintenance expects.
+func (c *session) sizingInputs(now time.Time) ([]maintenance.Pool, []maintenance.Instance) {
+	rows := make(map[string]*maintenance.Pool)
+	var pools []maintenance.Pool
 	for name, p := range c.config.Pools {
-		pools = append(pools, upkeep.Pool{Name: name, Headroom: p.Headroom})
+		pools = append(pools, maintenance.Pool{Name: name, Headroom: p.Headroom})
 	}
 	for i := range pools {
 		rows[pools[i].Name] = &pools[i]
 	}
 	c.countLoads()
-	var instances []upkeep.Instance
+	var instances []maintenance.Instance
 	for _, name := range c.instanceNames() {
 		m := c.machines[name]
 		if c.inWave(name) {
 			continue // it serves no pool until its maintenance is over
 		}
-		x := upkeep.Instance{Name: name, Pool: m.Pool, Labels: m.Labels, Fixed: m.State != MachineUp || c.immovable(name, now), Drained: c.drains[m.DataCentre] != nil}
+		x := maintenance.Instance{Name: name, Pool: m.Pool, Labels: m.Labels, Fixed: m.State != MachineUp || c.immovable(name, now), Drained: c.drains[m.DataCentre] != nil}
 		if s := c.moves[name]; s != nil {
 			x.Pool = s.to
 		}
@@ -96,7 +96,7 @@
 			c.setTargets(row, now)
 		}
 	}
-	c.retainForBusyPeriods(rows, now)
+	c.retainForBursts(rows, now)
 	c.setExpected(rows, now)
 	c.setShortages(rows, instances, now)
 	c.logSizes(rows, now)
@@ -107,7 +107,7 @@
 const sizeLogInterval = time.Second
 
 // logSizes logs the targets of each pool and their inputs after a significant change.
-func (c *session) logSizes(rows map[string]*upkeep.Pool, now time.Time) {
+func (c *session) logSizes(rows map[string]*maintenance.Pool, now time.Time) {
 	for name, row := range rows {
 		p := c.pool(name)
 		if row.Headroom || now.Sub(p.loggedAt) < sizeLogInterval || !changedSignificantly(p.loggedSize, *row) {
@@ -121,7 +121,7 @@
 }
 
 // changedSignificantly reports whether any of the pool's targets or its size has changed by more than an eighth and by at least two instances.
-func changedSignificantly(before, now upkeep.Pool) bool {
+func changedSignificantly(before, now maintenance.Pool) bool {
 	for _, x := range [...][2]float64{{before.Want, now.Want}, {before.LongTermNeed, now.LongTermNeed}, {before.SoonNeed, now.SoonNeed}, {float64(before.Have), float64(now.Have)}} {
 		if change := math.Abs(x[0] - x[1]); change >= 2 && change > max(x[0], x[1])/8 {
 			return true
@@ -161,11 +161,11 @@
 }
 
 // startMove starts to move an instance out of its pool: its worker gets no new tasks.
-func (c *session) startMove(m upkeep.Move, now time.Time) {
+func (c *session) startMove(m maintenance.Move, now time.Time) {
 	s := &pendingMove{to: m.To, since: now}
 	if w := c.workerOn(m.Instance); w != nil {
 		w.beingEmptied = true
-		s.life = w.Life
+		s.incarnation = w.Incarnation
 	}
 	c.moves[m.Instance] = s
 	c.advanceMove(m.Instance, s, now)
@@ -206,9 +206,9 @@
 	case s.inFlight || now.Before(s.notBefore):
 	case s.moved:
 		c.checkArrival(machine, s, now)
-	case s.life != "" && c.workers[s.life] == nil:
+	case s.incarnation != "" && c.workers[s.incarnation] == nil:
 		c.postponeMove(machine, s) // the incarnation was removed in the meantime, and it is not known what runs on the instance now
-	case c.workers[s.life] != nil && !c.workers[s.life].hasNoRuns():
+	case c.workers[s.incarnation] != nil && !c.workers[s.incarnation].hasNoRuns():
 		if now.Sub(s.since) > shortWorkGrace {
 			c.postponeMove(machine, s) // its tasks take too long to end; another instance may be moved instead
 		}
@@ -221,7 +221,7 @@
 // up waiting after moveArrivalMargin.
 func (c *session) checkArrival(machine string, s *pendingMove, now time.Time) {
 	w := c.listedWorkerOn(machine)
-	arrived := w != nil && w.Life != s.life && w.answered
+	arrived := w != nil && w.Incarnation != s.incarnation && w.answered
 	off := c.config.Pools[s.to].Headroom && now.Sub(s.since) > c.Bounds().Move
 	if arrived || off || now.Sub(s.since) > c.Bounds().Move+moveArrivalMargin {
 		delete(c.moves, machine)
@@ -230,7 +230,7 @@
 
 // cancelMove leaves the instance in its pool.
 func (c *session) cancelMove(machine string, s *pendingMove) {
-	if w := c.workers[s.life]; w != nil {
+	if w := c.workers[s.incarnation]; w != nil {
 		w.beingEmptied = false
 		c.markPoolDirty(w.Pool)
 	}
@@ -287,8 +287,8 @@
 		x.Pool, x.State, x.ID = s.to, MachineUp, ""
 		c.machines[m.machine] = x
 		c.movedAt[m.machine] = now
-		if w := c.workers[s.life]; w != nil {
-			c.endLife(w, "its instance was moved")
+		if w := c.workers[s.incarnation]; w != nil {
+			c.endIncarnation(w, "its instance was moved")
 		}
 		c.counts.moves.Inc(1)
 		c.emit(event.InstanceMoved, event.Subject{Instance: m.machine}, "from=%s to=%s", from, s.to)
--- a/pool/size_test.go
+++ b/pool/size_test.go
@@ -33,7 +33,7 @@
 					wave.Machines = append(wave.Machines[:0], m)
 				}
 				b.Machines.Move = func(context.Context, string, string, int64) error { moved.Add(1); return nil }
-				b.Machines.Upkeep = func(context.Context, string, int64, int64) error { maintained.Add(1); return nil }
+				b.Machines.Maintenance = func(context.Context, string, int64, int64) error { maintained.Add(1); return nil }
 				b.PutWave = func(context.Context, int64, bool) error { return nil }
 				b.machinesListedAt = time.Now()
 				waveRequested{wave: wave}.apply(b.session)
--- a/pool/storedstats.go
+++ b/pool/storedstats.go
@@ -8,7 +8,7 @@
 	"rackstep.dev/event"
 	"rackstep.dev/feed"
 	"rackstep.dev/job"
-	"rackstep.dev/upkeep"
+	"rackstep.dev/maintenance"
 )
 
 // Timing of the stored statistics.
@@ -40,7 +40,7 @@
 	Work   float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// storedTurn holds the load statistics of one pool, see upkeep.Turn.
+// storedTurn holds the load statistics of one pool, see maintenance.Turn.
 type storedTurn struct {
 	// Ago is the time since the turn began, or 0 if the pool had none.
 	Ago    time.Duration `cbor:"1,keyasint,omitempty"`
@@ -100,9 +100,9 @@
 	for name, ran := range k.Ran {
 		c.pool(name).meanRunSeconds = ran
 	}
-	c.turns = upkeep.Bursts{Pools: make(map[string]*upkeep.Burst, len(k.Turns)), Interval: k.Gap, Last: k.Last, SecondRound: k.Round}
+	c.turns = maintenance.Bursts{Pools: make(map[string]*maintenance.Burst, len(k.Turns)), Interval: k.Gap, Last: k.Last, SecondRound: k.Round}
 	for name, t := range k.Turns {
-		row := &upkeep.Burst{Need: t.Need, Active: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
+		row := &maintenance.Burst{Need: t.Need, Active: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if t.Ago > 0 {
 			row.Began = now.Add(-t.Ago - statsAge)
 		}
--- a/pool/storedstats_test.go
+++ b/pool/storedstats_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/frankban/quicktest"
 
-	"rackstep.dev/upkeep"
+	"rackstep.dev/maintenance"
 )
 
 // TestANewLeaderKnowsWhatTheEarlierOneLearned guards against a new leader that starts without the earlier one's run-time statistics and without knowing which
@@ -25,7 +25,7 @@
 			if int(at/(4*time.Second))%3 == i {
 				load = 9
 			}
-			earlier.turns.Observe(name, upkeep.Load{Need: load, Used: load, Have: 10}, now.Add(at))
+			earlier.turns.Observe(name, maintenance.Load{Need: load, Used: load, Have: 10}, now.Add(at))
 		}
 	}
 	now = now.Add(14 * time.Second)
