--- a/pool/suspects.go
+++ b/pool/suspects.go
@@ -11,37 +11,37 @@
 	"rackstep.dev/place"
 )
 
-// Parameters for telling a task that ends its workers' lives by starting from the tasks that ran beside it.
+// Parameters for telling a task that ends its workers' incarnations by starting from the tasks that ran beside it.
 const (
-	// similarAge is the maximum difference between the ages of the youngest run and another one for both to be suspected of having ended a life. At 19 of 19
-	// ends of lives under crashing tasks the youngest run was 3 to 26 ms old, and the starts of one batch are sent within about 20 ms.
+	// similarAge is the maximum difference between the ages of the youngest run and another one for both to be suspected of having ended an incarnation. At 19 of 19
+	// ends of incarnations under crashing tasks the youngest run was 3 to 26 ms old, and the starts of one batch are sent within about 20 ms.
 	similarAge = 150 * time.Millisecond
-	// suspectMaxAge is the age above which a run is not suspected after the first lost life. It may be after the third.
+	// suspectMaxAge is the age above which a run is not suspected after the first lost incarnation. It may be after the third.
 	suspectMaxAge = time.Second
-	// immediateCrashAge is the maximum age of a run that proves it to have ended a life by starting: any other cause would have had to coincide with the start.
+	// immediateCrashAge is the maximum age of a run that proves it to have ended an incarnation by starting: any other cause would have had to coincide with the start.
 	immediateCrashAge = 100 * time.Millisecond
 	// trialMin is the minimum time for which a suspect runs alone before other tasks start beside it: ten times the age at which crashing tasks were
-	// observed to end lives. trialMax bounds the time where lives ended under older runs.
+	// observed to end incarnations. trialMax bounds the time where incarnations ended under older runs.
 	trialMin = 300 * time.Millisecond
 	trialMax = 3 * time.Second
-	// trialFactor is the length of a trial in multiples of the suspect's largest age at the end of a life.
+	// trialFactor is the length of a trial in multiples of the suspect's largest age at the end of an incarnation.
 	trialFactor = 2
-	// trialShare is the share of a pool's workers, at least one, on which trials run at a time. Trials may put at risk one life at a time on average, or
+	// trialShare is the share of a pool's workers, at least one, on which trials run at a time. Trials may put at risk one incarnation at a time on average, or
 	// one for every workersPerRisk workers if that is more.
 	trialShare     = 1.0 / 3
 	workersPerRisk = 8
 )
 
-// attributeLostRuns records the end of a life as evidence against the runs that were on it.
+// attributeLostRuns records the end of an incarnation as evidence against the runs that were on it.
 //
-// Which of them ended the life is unknown. If the youngest one was on trial there, it is the likely culprit and the only suspect; otherwise all runs about as young as the
-// youngest are suspects, and are started again in trials. The other runs record the lost life without becoming suspects. They have to: a task
-// that crashes its worker late would otherwise go free whenever a trial runs beside it, and ended seven lives in simulated histories. An expired lease is no such
-// evidence, and neither is a planned end of a life.
+// Which of them ended the incarnation is unknown. If the youngest one was on trial there, it is the likely culprit and the only suspect; otherwise all runs about as young as the
+// youngest are suspects, and are started again in trials. The other runs record the lost incarnation without becoming suspects. They have to: a task
+// that crashes its worker late would otherwise go free whenever a trial runs beside it, and ended seven incarnations in simulated histories. An expired lease is no such
+// evidence, and neither is a planned end of an incarnation.
 func (c *session) attributeLostRuns(w *worker, now time.Time) {
 	ended := w.endTime(now)
 	newest, beside := c.youngestRun(w, ended)
-	tried := w.trial != nil && c.trialEndedLife(w, newest, ended)
+	tried := w.trial != nil && c.trialEndedIncarnation(w, newest, ended)
 	youngest := min(newest+similarAge, suspectMaxAge)
 	suspects := 0
 	for _, r := range w.runs {
@@ -55,7 +55,7 @@
 			continue
 		}
 		age := c.ageAt(r, ended)
-		l := job.LostRun{Run: r.number, Life: w.Life, Age: age}
+		l := job.LostRun{Run: r.number, Incarnation: w.Incarnation, Age: age}
 		if r.orderedAt.IsZero() {
 			l.Age = job.AgeUnknown // all that is known is that the run is older than this lead
 		}
@@ -66,7 +66,7 @@
 			l.Suspects = suspects
 		}
 		c.counts.runsLost.Inc(1)
-		c.emit(event.RunLost, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d age=%v newest=%v beside=%d suspects=%d tried=%t planned=%t lives=%d machine=%s",
+		c.emit(event.RunLost, event.Subject{Job: t.Name(), Instance: w.Incarnation}, "run=%d age=%v newest=%v beside=%d suspects=%d tried=%t planned=%t lives=%d machine=%s",
 			r.number, age.Round(time.Millisecond), newest.Round(time.Millisecond), beside-1, l.Suspects, l.Isolated, planned, len(t.Lost), w.Machine)
 		if !planned {
 			c.recordLostRun(t, l, age)
@@ -89,9 +89,9 @@
 	return newest, count
 }
 
-// trialEndedLife reports whether the task on trial on the worker most likely ended its life: it had not been cleared, and no other run is about as young.
+// trialEndedIncarnation reports whether the task on trial on the worker most likely ended its incarnation: it had not been cleared, and no other run is about as young.
 // Nothing had started on the worker for similarAge when the trial began; half of that is allowed for starts that were still in flight.
-func (c *session) trialEndedLife(w *worker, newest time.Duration, ended time.Time) bool {
+func (c *session) trialEndedIncarnation(w *worker, newest time.Duration, ended time.Time) bool {
 	r := w.runs[w.trial]
 	if r == nil || r.number != w.trialRun || !r.countsAsLost() {
 		return false
@@ -105,27 +105,27 @@
 	return age == newest && age <= trialDuration(w.trial)
 }
 
-// earlierLostRun is a run that an earlier leader ordered on a life that has ended since.
+// earlierLostRun is a run that an earlier leader ordered on an incarnation that has ended since.
 type earlierLostRun struct {
 	task *job.Task
 	run  int64
 }
 
-// recordEarlierLost records as evidence the lives that ended while no leader was watching. The ages of their runs are unknown.
+// recordEarlierLost records as evidence the incarnations that ended while no leader was watching. The ages of their runs are unknown.
 func (c *session) recordEarlierLost(ended map[string][]earlierLostRun) {
-	for life, runs := range ended {
+	for incarnation, runs := range ended {
 		for _, r := range runs {
 			c.counts.runsLost.Inc(1)
-			c.emit(event.RunLost, event.Subject{Job: r.task.Name(), Instance: life}, "run=%d of an earlier leader beside=%d lives=%d", r.run, len(runs)-1, len(r.task.Lost))
-			c.recordLostRun(r.task, job.LostRun{Run: r.run, Life: life, Age: job.AgeUnknown, Suspects: len(runs)}, 0)
+			c.emit(event.RunLost, event.Subject{Job: r.task.Name(), Instance: incarnation}, "run=%d of an earlier leader beside=%d lives=%d", r.run, len(runs)-1, len(r.task.Lost))
+			c.recordLostRun(r.task, job.LostRun{Run: r.run, Incarnation: incarnation, Age: job.AgeUnknown, Suspects: len(runs)}, 0)
 		}
 	}
 }
 
-// recordLostRun records a run that was lost with its life and gives its job up once too many have been. The run was at least as old as the given age.
+// recordLostRun records a run that was lost with its incarnation and gives its job up once too many have been. The run was at least as old as the given age.
 func (c *session) recordLostRun(t *job.Task, l job.LostRun, age time.Duration) {
 	if t.Spec().Lasting && age > trialMax {
-		t.Job.ClearLost(t) // a task that ends lives by starting would not have run for that long
+		t.Job.ClearLost(t) // a task that ends incarnations by starting would not have run for that long
 		c.jobChanged(t.Job)
 		return
 	}
@@ -136,7 +136,7 @@
 	c.giveUpCrashing(t)
 }
 
-// retractLostRun takes back the record of a lost run whose start reached the worker only after the life had ended.
+// retractLostRun takes back the record of a lost run whose start reached the worker only after the incarnation had ended.
 func (c *session) retractLostRun(t *job.Task, run int64) {
 	before := len(t.Lost)
 	t.Job.RetractLost(t, run)
@@ -146,7 +146,7 @@
 	}
 }
 
-// giveUpCrashing gives up the job of a task under which too many lives have ended. If that ends the job, none of its tasks starts again.
+// giveUpCrashing gives up the job of a task under which too many incarnations have ended. If that ends the job, none of its tasks starts again.
 func (c *session) giveUpCrashing(t *job.Task) {
 	j := t.Job
 	if !t.ExceedsLossLimit() || j.State.Ended() {
@@ -155,7 +155,7 @@
 	j.GiveUp(t, c.now())
 	last := t.Lost[len(t.Lost)-1]
 	c.counts.givenUp.Inc(1)
-	c.emit(event.JobGivenUp, event.Subject{Job: t.Name(), Instance: last.Life}, "lives=%d proved=%t age=%v state=%v", len(t.Lost), last.Conclusive, last.Age.Round(time.Millisecond), j.State)
+	c.emit(event.JobGivenUp, event.Subject{Job: t.Name(), Instance: last.Incarnation}, "lives=%d proved=%t age=%v state=%v", len(t.Lost), last.Conclusive, last.Age.Round(time.Millisecond), j.State)
 	c.jobChanged(j)
 	if j.State.Ended() {
 		c.stopJob(j, "a task of the job crashes its workers")
@@ -173,7 +173,7 @@
 		t := w.trial
 		r := w.runs[t]
 		switch {
-		case c.workers[w.Life] != w:
+		case c.workers[w.Incarnation] != w:
 		case r == nil || r.number != w.trialRun:
 			c.markPoolDirty(w.Pool)
 		case r.orderedAt.IsZero() || !w.silentSince.IsZero() || now.Sub(r.orderedAt) <= trialDuration(t):
@@ -194,17 +194,17 @@
 }
 
 // placeSuspects starts suspects in trials and returns the rooms that remain for other tasks.
-func (c *session) placeSuspects(p *poolRow, groups []*place.Group, rooms []*place.Candidate, draft *org.Draft, now time.Time) []*place.Candidate {
+func (c *session) placeSuspects(p *poolRow, groups []*place.Group, candidates []*place.Candidate, draft *org.Draft, now time.Time) []*place.Candidate {
 	if !hasSuspect(groups) {
-		return rooms
+		return candidates
 	}
-	most, risk, going := max(int(trialShare*float64(len(rooms))), 1), max(1, float64(len(rooms))/workersPerRisk), false
+	most, risk, going := max(int(trialShare*float64(len(candidates))), 1), max(1, float64(len(candidates))/workersPerRisk), false
 	for w := range c.trials {
 		if w.Pool == p.name {
 			most, risk, going = most-1, risk-w.trial.Risk(), true
 		}
 	}
-	choices, rest := place.PlaceSuspects(groups, rooms, place.TrialLimits{Max: most, MaxRisk: risk, Ongoing: going, Draft: draft})
+	choices, rest := place.PlaceSuspects(groups, candidates, place.TrialLimits{Max: most, MaxRisk: risk, Ongoing: going, Draft: draft})
 	for _, x := range choices {
 		c.startChoice(x, now)
 	}
@@ -226,10 +226,10 @@
 // mayHaveBegun reports whether the run's start was sent, so that the run may have begun.
 func (r *run) mayHaveBegun() bool { return r.sent || r.fromEarlierLeader }
 
-// countsAsLost reports whether the end of its worker's life counts against the run. For a run that was handed on, the previous life has been counted.
+// countsAsLost reports whether the end of its worker's incarnation counts against the run. For a run that was handed on, the previous incarnation has been counted.
 func (r *run) countsAsLost() bool { return r.mayHaveBegun() && !r.carriedOver }
 
-// endTime returns the latest time at which the life can have ended, judging by its connections.
+// endTime returns the latest time at which the incarnation can have ended, judging by its connections.
 func (w *worker) endTime(now time.Time) time.Time {
 	if w.silentSince.IsZero() || w.callFailedAt.IsZero() {
 		return now
--- a/pool/suspects_test.go
+++ b/pool/suspects_test.go
@@ -16,29 +16,29 @@
 )
 
 // heardBench returns a session with a job and workers that have all answered it.
-func heardBench(c *quicktest.C, j *job.Job, lives ...string) *fixture {
-	b := newFixture(c, []*job.Job{j}, lives...)
-	for _, life := range lives {
-		b.report(life, 10, nil)
+func heardBench(c *quicktest.C, j *job.Job, incarnations ...string) *fixture {
+	b := newFixture(c, []*job.Job{j}, incarnations...)
+	for _, incarnation := range incarnations {
+		b.report(incarnation, 10, nil)
 	}
 	return b
 }
 
-// runningOn makes the job's tasks run on the lives in turn, with the given ages.
-func (b *fixture) runningOn(ages []time.Duration, lives ...string) {
+// runningOn makes the job's tasks run on the incarnations in turn, with the given ages.
+func (b *fixture) runningOn(ages []time.Duration, incarnations ...string) {
 	now := time.Now()
 	for i, age := range ages {
-		t, w := b.task(i), b.workers[lives[i%len(lives)]]
-		t.Phase, t.Run, t.Worker = job.Active, int64(100+i), w.Life
+		t, w := b.task(i), b.workers[incarnations[i%len(incarnations)]]
+		t.Phase, t.Run, t.Worker = job.Active, int64(100+i), w.Incarnation
 		b.addRun(w, t, &run{number: t.Run, sent: true, orderedAt: now.Add(-age)})
 	}
 }
 
-func TestOnlyTheNewestRunsOfALostLifeAreSuspects(t *testing.T) {
+func TestOnlyTheNewestRunsOfALostIncarnationAreSuspects(t *testing.T) {
 	for _, x := range [...]struct {
 		name string
 		ages []time.Duration
-		// planned is whether the end of the life was planned.
+		// planned is whether the end of the incarnation was planned.
 		planned bool
 		want    []int
 	}{
@@ -54,7 +54,7 @@
 			b.report("w1", 10, nil)
 			b.runningOn(x.ages, "w1")
 			b.workers["w1"].Leaving = x.planned
-			b.endLife(b.workers["w1"], "its address has another life")
+			b.endIncarnation(b.workers["w1"], "its address has another life")
 			for i := range x.ages {
 				if x.want == nil {
 					c.Assert(b.task(i).Lost, quicktest.HasLen, 0)
@@ -98,14 +98,14 @@
 	})
 }
 
-// lostOnce records that a life ended under a task, which is waiting again.
+// lostOnce records that an incarnation ended under a task, which is waiting again.
 func (b *fixture) lostOnce(index int) {
 	t := b.task(index)
-	t.Job.RecordLost(t, job.LostRun{Run: 1, Life: "w0", Suspects: 2})
+	t.Job.RecordLost(t, job.LostRun{Run: 1, Incarnation: "w0", Suspects: 2})
 	t.Job.StoredVersion = t.Job.Version
 }
 
-func TestASuspectThatEndsItsNextLifeAtOnceIsGivenUp(t *testing.T) {
+func TestASuspectThatEndsItsNextIncarnationAtOnceIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := heardBench(c, jobWithTasks(6), "w1", "w2")
@@ -116,22 +116,22 @@
 		tried := b.workers[b.task(0).Worker]
 		b.confirmRun(tried, b.task(0), tried.runs[b.task(0)], 20)
 		b.runsBeside(tried, 1)
-		b.endLife(tried, "its address has another life")
+		b.endIncarnation(tried, "its address has another life")
 		c.Assert(b.task(0).Job.State, quicktest.Equals, job.Failed)
-		c.Assert(b.task(1).Lost, quicktest.HasLen, 1) // its run was old: the lost life is recorded, but the task is no suspect
+		c.Assert(b.task(1).Lost, quicktest.HasLen, 1) // its run was old: the lost incarnation is recorded, but the task is no suspect
 		c.Assert(b.task(1).Suspect, quicktest.IsFalse)
 	})
 }
 
-// TestAStartThatComesToAnotherLifeWasNeverThere guards against counting a lost life against a suspect whose start reached the address only after that life
+// TestAStartThatComesToAnotherIncarnationWasNeverThere guards against counting a lost incarnation against a suspect whose start reached the address only after that incarnation
 // had ended.
-func TestAStartThatComesToAnotherLifeWasNeverThere(t *testing.T) {
+func TestAStartThatComesToAnotherIncarnationWasNeverThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := heardBench(c, jobWithTasks(6), "w1", "w2")
 		b.lostOnce(0)
 		b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
-			return work.Answer{Refusal: work.OtherLife}, nil
+			return work.Answer{Refusal: work.OtherIncarnation}, nil
 		}
 		b.placeAndCount()
 		b.commitAll()
@@ -145,15 +145,15 @@
 	})
 }
 
-// TestAnOrderThatFindsItsLifeGoneIsTakenBack guards against counting a lost life against a start in flight. Two starts are on their way to a life that
+// TestAnOrderThatFindsItsIncarnationGoneIsTakenBack guards against counting a lost incarnation against a start in flight. Two starts are on their way to an incarnation that
 // has ended: the first answer reports its end, and the second one that its run was never there either.
-func TestAnOrderThatFindsItsLifeGoneIsTakenBack(t *testing.T) {
+func TestAnOrderThatFindsItsIncarnationGoneIsTakenBack(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, []*job.Job{jobWithTasks(2)}, "w1", "w2")
 	b.report("w1", 10, nil)
 	b.runningOn([]time.Duration{5 * time.Millisecond, 4 * time.Millisecond}, "w1")
 	w := b.workers["w1"]
-	gone := work.Answer{Refusal: work.OtherLife}
+	gone := work.Answer{Refusal: work.OtherIncarnation}
 	startResult{worker: w, task: b.task(0), run: 100, answer: gone}.apply(b.session)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
 	c.Assert(b.task(1).Lost, quicktest.HasLen, 1)
@@ -169,18 +169,18 @@
 	if o := b.workers[t.Worker]; o != nil {
 		o.dropRun(t)
 	}
-	t.Phase, t.Run, t.Worker = job.Active, 500, w.Life
+	t.Phase, t.Run, t.Worker = job.Active, 500, w.Incarnation
 	b.addRun(w, t, &run{number: t.Run, sent: true, orderedAt: time.Now().Add(-time.Second)})
 }
 
-// TestTheNextLeaderKnowsWhatWasLost guards against a new leader that does not know of lost lives: they must be stored before the task's next start is sent, even
+// TestTheNextLeaderKnowsWhatWasLost guards against a new leader that does not know of lost incarnations: they must be stored before the task's next start is sent, even
 // while the store fails.
 func TestTheNextLeaderKnowsWhatWasLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := heardBench(c, jobWithTasks(1), "w1", "w2")
 		b.runningOn([]time.Duration{10 * time.Millisecond}, "w1")
-		b.endLife(b.workers["w1"], "its address has another life")
+		b.endIncarnation(b.workers["w1"], "its address has another life")
 		c.Assert(b.placeAndCount(), quicktest.Equals, 1)
 		b.sendUnstored() // while the store does not answer
 		c.Assert(b.plannedStarts, quicktest.HasLen, 1)
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestAKeptRunOnALifeThatIsGoneCounts guards against losing the evidence when a leader and a worker's life end together: the next leader has to count the stored runs
-// on that life.
-func TestAKeptRunOnALifeThatIsGoneCounts(t *testing.T) {
+// TestAKeptRunOnAnIncarnationThatIsGoneCounts guards against losing the evidence when a leader and a worker's incarnation end together: the next leader has to count the stored runs
+// on that incarnation.
+func TestAKeptRunOnAnIncarnationThatIsGoneCounts(t *testing.T) {
 	c := quicktest.New(t)
 	j := jobWithTasks(2)
 	for i := range j.Tasks {
@@ -198,7 +198,7 @@
 	}
 	b := newFixture(c, []*job.Job{j}, "w1")
 	for i := range j.Tasks {
-		c.Assert(b.task(i).Lost, quicktest.DeepEquals, []job.LostRun{{Run: int64(5 + i), Life: "w9", Age: job.AgeUnknown, Suspects: 2}})
+		c.Assert(b.task(i).Lost, quicktest.DeepEquals, []job.LostRun{{Run: int64(5 + i), Incarnation: "w9", Age: job.AgeUnknown, Suspects: 2}})
 		c.Assert(b.task(i).Suspect, quicktest.IsTrue)
 	}
 	c.Assert(b.dirtyJobs.Has(j.Spec.ID), quicktest.IsTrue)
@@ -213,7 +213,7 @@
 	b.lostOnce(0)
 	b.runningOn([]time.Duration{time.Minute}, "w1")
 	b.sideKeys[lostKey+j.Spec.ID] = true
-	b.endLife(b.workers["w1"], "its address has another life")
+	b.endIncarnation(b.workers["w1"], "its address has another life")
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
 	c.Assert(b.task(0).Suspect, quicktest.IsFalse)
 	records := b.appendJobs(&commitBatch{versions: make(map[*job.Job]int64)}, nil)
@@ -226,7 +226,7 @@
 	b.report("w1", 10, nil)
 	b.runningOn([]time.Duration{time.Second}, "w1")
 	w := b.workers["w1"]
-	holdResult{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherLife}}}.apply(b.session)
-	holdResult{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherLife}}}.apply(b.session)
+	holdResult{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherIncarnation}}}.apply(b.session)
+	holdResult{worker: w, report: work.Report{Answer: work.Answer{Refusal: work.OtherIncarnation}}}.apply(b.session)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
 }
--- a/pool/suspendedleader_test.go
+++ b/pool/suspendedleader_test.go
@@ -35,8 +35,8 @@
 	confirmed := a.now()
 	a.ConfirmedAt = func() time.Time { return confirmed }
 	a.intakeReadUntil[0] = confirmed
-	for life := range a.workers {
-		a.report(life, 10, nil)
+	for incarnation := range a.workers {
+		a.report(incarnation, 10, nil)
 	}
 	a.updateQuorum(a.now())
 	for _, w := range a.workers {
@@ -86,9 +86,9 @@
 func checkTakeAway(c *quicktest.C, a *suspendableLeader, before bool) {
 	j := a.jobs["00000000000000a1"]
 	j.Spec.Steps[0].Lasting, j.Spec.Steps[0].MayMiss = true, 1
-	for i, life := range []string{"w1", "w2"} {
-		j.Tasks[i].Phase, j.Tasks[i].Worker, j.Tasks[i].AtWork = job.Active, life, true
-		a.addRun(a.workers[life], &j.Tasks[i], &run{number: 5, sent: true})
+	for i, incarnation := range []string{"w1", "w2"} {
+		j.Tasks[i].Phase, j.Tasks[i].Worker, j.Tasks[i].AtWork = job.Active, incarnation, true
+		a.addRun(a.workers[incarnation], &j.Tasks[i], &run{number: 5, sent: true})
 	}
 	a.soleLeaderFrom, a.term.Number = time.Time{}, 1
 	c.Check(a.canDisrupt(&j.Tasks[0], a.now()), quicktest.Equals, before)
@@ -130,8 +130,8 @@
 			w.knownAtTakeover = true
 		}
 		a.suspend(10 * time.Second)
-		for life := range a.workers {
-			a.report(life, 10, nil)
+		for incarnation := range a.workers {
+			a.report(incarnation, 10, nil)
 		}
 		c.Check(a.earlierUnstored, quicktest.IsTrue)
 	})
--- a/pool/tables.go
+++ b/pool/tables.go
@@ -11,13 +11,13 @@
 
 	"rackstep.dev/internal/clock"
 	"rackstep.dev/job"
+	"rackstep.dev/maintenance"
 	"rackstep.dev/org"
 	"rackstep.dev/place"
-	"rackstep.dev/upkeep"
 	"rackstep.dev/work"
 )
 
-// worker is a row of the workers table. It represents one life of a worker.
+// worker is a row of the workers table. It represents one incarnation of a worker.
 type worker struct {
 	work.Worker
 	clock *clock.Clock
@@ -34,19 +34,19 @@
 	unknownRuns    int
 	// strayRuns maps the runs that belong to no task to the time at which they were told to stop.
 	strayRuns map[int64]time.Time
-	// listed is set while the platform lists the life. A life that is not listed gets no starts.
+	// listed is set while the platform lists the incarnation. An incarnation that is not listed gets no starts.
 	listed bool
-	// knownAtTakeover is set if the life was known when the tables were read, so that the earlier leader may have
+	// knownAtTakeover is set if the incarnation was known when the tables were read, so that the earlier leader may have
 	// counted it and leased work on it.
 	knownAtTakeover bool
 	// unreadable is set while its entry in the list can't be parsed. It gets no starts then, and its runs go on.
 	unreadable bool
-	// listedAtConfirmation is set if the life was listed when the store last confirmed the lead.
+	// listedAtConfirmation is set if the incarnation was listed when the store last confirmed the lead.
 	listedAtConfirmation bool
-	// answered is set once the life has answered this leader. No order of an earlier leader is accepted there from
+	// answered is set once the incarnation has answered this leader. No order of an earlier leader is accepted there from
 	// then on.
 	answered bool
-	// listedSince is when the life was first listed here. askedAt is when the call that it answered last was sent.
+	// listedSince is when the incarnation was first listed here. askedAt is when the call that it answered last was sent.
 	// reportedAt is a lower bound of the time at which its latest report was made.
 	listedSince, askedAt, reportedAt time.Time
 	// silentSince is when it stopped answering, or zero while it answers.
@@ -67,7 +67,7 @@
 	leftAt time.Time
 	// coldUntil is until when it is slow after its start, according to its latest statement.
 	coldUntil time.Time
-	// beingEmptied is set while its runs are to end for an upkeep or a move of the instance.
+	// beingEmptied is set while its runs are to end for a maintenance or a move of the instance.
 	beingEmptied bool
 	// drained is set while its data centre is drained.
 	drained bool
@@ -78,16 +78,16 @@
 	lastStartAt time.Time
 	// missedLists counts the consecutive lists of instances that did not contain its instance.
 	missedLists int
-	// lostReason is why its life has ended. It is set while the end waits for the store to confirm the lead, and
-	// hasNoRuns while the life goes on.
+	// lostReason is why its incarnation has ended. It is set while the end waits for the store to confirm the lead, and
+	// hasNoRuns while the incarnation goes on.
 	lostReason string
-	// token is the fencing token of all calls to its ID, shared by the lives with that ID. Only answers to calls with
+	// token is the fencing token of all calls to its ID, shared by the incarnations with that ID. Only answers to calls with
 	// requiredToken or a higher token count.
 	token         *atomic.Int64
 	requiredToken atomic.Int64
-	// idRetired is set if no later life will use its ID.
+	// idRetired is set if no later incarnation will use its ID.
 	idRetired bool
-	// successor is the life that has replaced it under its ID, or nil as long as it is not known to have ended.
+	// successor is the incarnation that has replaced it under its ID, or nil as long as it is not known to have ended.
 	successor *worker
 	// unreadRuns counts the runs in its report whose jobs may not have been read yet.
 	unreadRuns int
@@ -127,10 +127,10 @@
 	// sent is set once the order has been sent. fromEarlierLeader is set if an earlier leader ordered the run or
 	// planned to.
 	sent, fromEarlierLeader bool
-	// carriedOver is set if the run was ordered under the previous life, which has ended. The next report of this
-	// life tells whether it has the run.
+	// carriedOver is set if the run was ordered under the previous incarnation, which has ended. The next report of this
+	// incarnation tells whether it has the run.
 	carriedOver bool
-	// confirmedEarlier is set if the run was carried over and an earlier life had confirmed it.
+	// confirmedEarlier is set if the run was carried over and an earlier incarnation had confirmed it.
 	confirmedEarlier bool
 	ticket           string
 	// slack is how much time the job had left to be on time when the run was planned. It is only logged.
@@ -294,26 +294,26 @@
 	}
 }
 
-// addWorker adds a life to the tables and marks its record to be stored. A life gets no work until its record is
+// addWorker adds an incarnation to the tables and marks its record to be stored. An incarnation gets no work until its record is
 // stored, whether it became known through the list, through an answer to a call or through the records of an earlier
 // leader.
 func (c *session) addWorker(w *worker) {
-	c.workers[w.Life] = w
-	c.markLifeDirty(w.Life)
+	c.workers[w.Incarnation] = w
+	c.markIncarnationDirty(w.Incarnation)
 	w.drained = c.drains[w.DataCentre] != nil
 	c.assignToken(w)
-	c.livesByMachine[w.Machine] = append(c.livesByMachine[w.Machine], w)
-	c.livesByID[w.ID] = append(c.livesByID[w.ID], w)
+	c.incarnationsByMachine[w.Machine] = append(c.incarnationsByMachine[w.Machine], w)
+	c.incarnationsByID[w.ID] = append(c.incarnationsByID[w.ID], w)
 }
 
-// removeWorker removes a life from the tables.
+// removeWorker removes an incarnation from the tables.
 func (c *session) removeWorker(w *worker) {
-	delete(c.workers, w.Life)
+	delete(c.workers, w.Incarnation)
 	if w.answered {
 		c.answeredCount--
 	}
-	dropRow(c.livesByMachine, w.Machine, w)
-	dropRow(c.livesByID, w.ID, w)
+	dropRow(c.incarnationsByMachine, w.Machine, w)
+	dropRow(c.incarnationsByID, w.ID, w)
 }
 
 // dropRow removes a row from the index entry of a key.
@@ -347,7 +347,7 @@
 	// recentNeeds are recent values of its demand, oldest first.
 	recentNeeds []needSample
 	// loggedSize is the size that was last logged, at loggedAt.
-	loggedSize upkeep.Pool
+	loggedSize maintenance.Pool
 	loggedAt   time.Time
 	// recentWork is the work submitted recently, oldest first.
 	recentWork []submission
--- a/pool/takeover_test.go
+++ b/pool/takeover_test.go
@@ -373,7 +373,7 @@
 	}
 }
 
-// requestWave requests an upkeep wave of all schedulers, as the operator's record does.
+// requestWave requests a maintenance wave of all schedulers, as the operator's record does.
 func (h *history) requestWave(count int) {
 	h.lastWave++
 	h.mu.Lock()
@@ -492,7 +492,7 @@
 }
 
 // TestLeadersThatStopInAWaveSpareWhatLasts guards against a new leader that stops too many lasting tasks of a step in an
-// upkeep wave. After a planned handover, tasks that the earlier leader has told to stop are still reported as running for a while.
+// maintenance wave. After a planned handover, tasks that the earlier leader has told to stop are still reported as running for a while.
 func TestLeadersThatStopInAWaveSpareWhatLasts(t *testing.T) {
 	for seed := range uint64(12) {
 		_, violations := runHistory(t, seed, func(h *history) {
--- a/pool/unreadable_test.go
+++ b/pool/unreadable_test.go
@@ -17,11 +17,11 @@
 
 // parsePoolNames makes list entries consist of the name of their pool.
 func (b *fixture) parsePoolNames() {
-	b.ParseWorker = func(life string, value []byte) (work.Worker, error) {
+	b.ParseWorker = func(incarnation string, value []byte) (work.Worker, error) {
 		if value[0] == 0 {
 			return work.Worker{}, errors.New("invalid entry")
 		}
-		return work.Worker{Life: life, Machine: "m-" + life, Pool: string(value), Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Incarnation: incarnation, Machine: "m-" + incarnation, Pool: string(value), Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 }
 
@@ -77,15 +77,15 @@
 	catalog.Pools = map[string]job.Pool{"p": {Name: "p"}}
 	b.config = &catalog
 	for i := range 1 + r.IntN(6) {
-		life := fmt.Sprint("good", i)
+		incarnation := fmt.Sprint("good", i)
 		for n := range r.IntN(3) {
 			if bad {
 				b.applyWorkerRecord(fmt.Sprint("bad", i, n), [][]byte{{0}, []byte("elsewhere"), {0, 1}}[n])
 			}
 		}
-		b.applyWorkerRecord(life, []byte("p"))
-		b.storedLives[life] = true
-		b.report(life, 100, nil)
+		b.applyWorkerRecord(incarnation, []byte("p"))
+		b.storedIncarnations[incarnation] = true
+		b.report(incarnation, 100, nil)
 	}
 	return b.placeAndCount()
 }
--- a/pool/unstored.go
+++ b/pool/unstored.go
@@ -95,7 +95,7 @@
 }
 
 // storeFailing reports whether the store has left a batch unanswered for much longer than usual. What becomes of an instance
-// after a move or upkeep is known only from the store, so none is begun while the store fails. A store that is merely slow delivers this late but reliably, so it delays moves only during its first
+// after a move or maintenance is known only from the store, so none is begun while the store fails. A store that is merely slow delivers this late but reliably, so it delays moves only during its first
 // slow batches.
 func (c *session) storeFailing(now time.Time) bool {
 	limit := min(max(storeSlowAfter, time.Duration(storeFailFactor*float64(c.typicalBatchTime))), storeFailMax)
@@ -132,8 +132,8 @@
 	c.sendStored(c.now())
 }
 
-// splitUnstored splits the planned runs into those that may be ordered before they are stored, and those of tasks under which a life has ended. The next leader
-// must know of such a task's lost lives before it starts again.
+// splitUnstored splits the planned runs into those that may be ordered before they are stored, and those of tasks under which an incarnation has ended. The next leader
+// must know of such a task's lost incarnations before it starts again.
 func splitUnstored(planned []plannedStart) (allowed, rest []plannedStart) {
 	for _, p := range planned {
 		if len(p.task.Lost) > 0 {
--- a/pool/unstored_test.go
+++ b/pool/unstored_test.go
@@ -32,14 +32,14 @@
 	ordered   map[string]time.Time
 }
 
-const loadedLives = 400
+const loadedIncarnations = 400
 
 func newLoadedFixture(c *quicktest.C) *loadedFixture {
-	var lives []string
-	for i := range loadedLives {
-		lives = append(lives, fmt.Sprint("w", i))
+	var incarnations []string
+	for i := range loadedIncarnations {
+		incarnations = append(incarnations, fmt.Sprint("w", i))
 	}
-	x := &loadedFixture{fixture: newFixture(c, nil, lives...), storeDelay: 4 * time.Millisecond, ordered: make(map[string]time.Time)}
+	x := &loadedFixture{fixture: newFixture(c, nil, incarnations...), storeDelay: 4 * time.Millisecond, ordered: make(map[string]time.Time)}
 	x.AnnounceUnstoredOrders = func(loose bool) { x.announced = loose }
 	x.UnstoredOrdersAnnounced = func() bool { return x.announced }
 	x.State.Append = func(ctx context.Context, _ feed.Batch) (int64, error) {
@@ -54,8 +54,8 @@
 		x.ordered[o.Task[:16]] = time.Now()
 		return work.Answer{Clock: 100}, nil
 	}
-	for _, life := range lives {
-		x.report(life, 10, nil)
+	for _, incarnation := range incarnations {
+		x.report(incarnation, 10, nil)
 	}
 	return x
 }
@@ -205,7 +205,7 @@
 		}
 		x.storeDelay = 50 * time.Millisecond
 		x.pass(50)
-		x.report(w.Life, 500, nil, work.EndedRun{Seq: 1, Task: task, Run: number, Outcome: work.Succeeded})
+		x.report(w.Incarnation, 500, nil, work.EndedRun{Seq: 1, Task: task, Run: number, Outcome: work.Succeeded})
 		x.c.Assert(w.acked.Load(), quicktest.Equals, int64(0), quicktest.Commentf("the end is not stored yet"))
 		x.passFor(150*time.Millisecond, 2000)
 		x.c.Assert(w.acked.Load(), quicktest.Equals, int64(1))
--- a/pool/workerrestart_test.go
+++ b/pool/workerrestart_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// TestAWorkerThatComesBackUnderItsIDIsAnotherLife guards against taking a worker that restarts under its ID for its earlier
+// TestAWorkerThatComesBackUnderItsIDIsAnotherIncarnation guards against taking a worker that restarts under its ID for its earlier
 // incarnation. That happened when rows of the table of workers were found by the ID alone, and had two effects.
 //
 // Tasks ran again after they had succeeded, 374 to 988 times in each of these histories: an incarnation numbers its ends from
@@ -19,7 +19,7 @@
 //
 // Lasting tasks were not started elsewhere until 22 to 24 s after incarnations of 20 s: a run counts as missing only once the
 // worker's clock has passed the reading which confirmed it, and the clock of the new incarnation starts from zero.
-func TestAWorkerThatComesBackUnderItsIDIsAnotherLife(t *testing.T) {
+func TestAWorkerThatComesBackUnderItsIDIsAnotherIncarnation(t *testing.T) {
 	for _, x := range [...]struct {
 		name   string
 		script func(h *history)
@@ -92,8 +92,8 @@
 var lateOrders = flag.Bool("late", false, "also carry out orders late in the histories in which restarted workers keep their IDs")
 
 // TestTakeoversKeepEveryPromiseWhereWorkersComeBack guards against violations in random takeover histories in which workers
-// crash often and mostly restart under the same ID. TestAnOrderForTheLifeBeforeStartsNothing and
-// TestAnOrderThatTheLifeBeforeHasSettledStartsNothing cover late orders; here they occur only with the flag -late.
+// crash often and mostly restart under the same ID. TestAnOrderForTheIncarnationBeforeStartsNothing and
+// TestAnOrderThatTheIncarnationBeforeHasSettledStartsNothing cover late orders; here they occur only with the flag -late.
 func TestTakeoversKeepEveryPromiseWhereWorkersComeBack(t *testing.T) {
 	for i := range *histories {
 		seed := *first + uint64(i)
--- a/pool/workers.go
+++ b/pool/workers.go
@@ -46,7 +46,7 @@
 	// reportMaxAge is the maximum age of a worker's latest report for its statements about a lasting task to be used: one hold and the pause
 	// after it.
 	reportMaxAge = 2500 * time.Millisecond
-	// minKnownTime is how long a life must be known before the list of instances can declare it ended, because that list may lag behind the list of workers.
+	// minKnownTime is how long an incarnation must be known before the list of instances can declare it ended, because that list may lag behind the list of workers.
 	minKnownTime = 2500 * time.Millisecond
 	// silentListInterval is the interval between two listings of the instances while workers are silent.
 	silentListInterval = 700 * time.Millisecond
@@ -56,7 +56,7 @@
 	listPauseFactor = 5
 	// listTimeout bounds a listing of all instances. The list is paged, and the adapter bounds each page.
 	listTimeout = 6 * time.Second
-	// silentAfter is how long a worker must be silent before the list of instances is used to decide whether its life has ended.
+	// silentAfter is how long a worker must be silent before the list of instances is used to decide whether its incarnation has ended.
 	silentAfter = 500 * time.Millisecond
 )
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// workersRead is a page of the list of workers. A complete page names every listed life.
+// workersRead is a page of the list of workers. A complete page names every listed incarnation.
 type workersRead struct {
 	page     feed.KeyedPage
 	complete bool
@@ -112,11 +112,11 @@
 
 // applyWorkerRecord applies a record of the list of workers. It returns the worker if it is new.
 //
-// A record of another life under the same ID does not end a listed life; which of them is alive is known only from the answers to calls.
+// A record of another incarnation under the same ID does not end a listed incarnation; which of them is alive is known only from the answers to calls.
 func (c *session) applyWorkerRecord(id string, value []byte) *worker {
 	if len(value) == 0 {
 		c.foreign.drop(id)
-		for _, w := range c.livesWithID(id) {
+		for _, w := range c.incarnationsWithID(id) {
 			if w.listed {
 				c.markUnlisted(w)
 			}
@@ -129,27 +129,27 @@
 		return nil
 	}
 	c.acceptEntry(id)
-	w := c.workers[row.Life]
+	w := c.workers[row.Incarnation]
 	if w == nil {
-		if c.endedLives[row.Life] {
-			return nil // the record is older than the proof that the life has ended
+		if c.endedIncarnations[row.Incarnation] {
+			return nil // the record is older than the proof that the incarnation has ended
 		}
 		w = newWorker(row, c.Clock, &c.ledger)
 		c.addWorker(w)
-		c.emit(event.WorkerSeen, event.Subject{Instance: row.Life}, "machine=%s pool=%s room=%d leaving=%t", row.Machine, row.Pool, row.Capacity.MilliCPU, row.Leaving)
+		c.emit(event.WorkerSeen, event.Subject{Instance: row.Incarnation}, "machine=%s pool=%s room=%d leaving=%t", row.Machine, row.Pool, row.Capacity.MilliCPU, row.Leaving)
 		return w
 	}
 	if w.Leaving != row.Leaving || !w.listed {
-		c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s pool=%s leaving=%t", row.Machine, row.Pool, row.Leaving)
+		c.emit(event.WorkerSeen, event.Subject{Instance: w.Incarnation}, "machine=%s pool=%s leaving=%t", row.Machine, row.Pool, row.Leaving)
 	}
 	c.updateWorker(w, row)
 	return nil
 }
 
-// updateWorker applies a newer record of a known life.
+// updateWorker applies a newer record of a known incarnation.
 func (c *session) updateWorker(w *worker, row work.Worker) {
 	if row.Capacity != w.Capacity {
-		c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Capacity.MilliCPU, w.Capacity.MilliCPU)
+		c.emit(event.WorkerSeen, event.Subject{Instance: w.Incarnation}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Capacity.MilliCPU, w.Capacity.MilliCPU)
 	}
 	w.room.Free = w.room.Free.Plus(row.Capacity.Minus(w.Capacity)) // negative if the capacity is now less than the running tasks need
 	startsLeaving := row.Leaving && !w.Leaving
@@ -174,17 +174,17 @@
 
 func (c *session) markUnlisted(w *worker) {
 	w.listed = false
-	c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s no longer listed runs=%d", w.Machine, len(w.runs))
+	c.emit(event.WorkerSeen, event.Subject{Instance: w.Incarnation}, "machine=%s no longer listed runs=%d", w.Machine, len(w.runs))
 	c.markLeaving(w)
 }
 
-// endPreviousLives ends the other lives of the instance of a worker that has just answered for the first time, because an instance has one life at a time. The
-// list of workers is no proof, since it may name ended lives. Neither is an answer to a call that was made before the other life was known.
-func (c *session) endPreviousLives(w *worker) {
-	for _, o := range slices.Clone(c.livesByMachine[w.Machine]) {
+// endPreviousIncarnations ends the other incarnations of the instance of a worker that has just answered for the first time, because an instance has one incarnation at a time. The
+// list of workers is no proof, since it may name ended incarnations. Neither is an answer to a call that was made before the other incarnation was known.
+func (c *session) endPreviousIncarnations(w *worker) {
+	for _, o := range slices.Clone(c.incarnationsByMachine[w.Machine]) {
 		if o != w && o.Machine != "" && o.ID != w.ID && o.listedSince.Before(w.askedAt) {
 			o.idRetired = true
-			c.endLife(o, "the instance has a new life "+w.Life)
+			c.endIncarnation(o, "the instance has a new life "+w.Incarnation)
 		}
 	}
 }
@@ -275,7 +275,7 @@
 		c.post(holdResult{worker: w, token: o.Fence, asked: now, wait: o.Wait, report: rep, err: err, failedAt: c.now()})
 		silent = err != nil
 		if err != nil || rep.Refusal != work.Accepted {
-			sleep(ctx, c.retryPause(w, row.Birth, pause, heard))
+			sleep(ctx, c.retryPause(w, row.BootID, pause, heard))
 			pause = min(2*pause, retryMax)
 			continue
 		}
@@ -312,7 +312,7 @@
 	}
 }
 
-// checkLeases handles silent workers, whose runs are given up when the life has ended or the lease has expired. It also lists the instances when that is due.
+// checkLeases handles silent workers, whose runs are given up when the incarnation has ended or the lease has expired. It also lists the instances when that is due.
 func (c *session) checkLeases(now time.Time) {
 	c.updateQuorum(now)
 	c.updateRaised(now)
@@ -321,7 +321,7 @@
 	workers, runs, pending := 0, 0, int32(0)
 	for _, w := range c.workers {
 		if w.lostReason != "" && c.confirmed(now) {
-			c.endLife(w, w.lostReason)
+			c.endIncarnation(w, w.lostReason)
 			continue
 		}
 		if w.silentSince.IsZero() {
@@ -351,7 +351,7 @@
 	}
 }
 
-// waveActive reports whether any upkeep wave is unfinished.
+// waveActive reports whether any maintenance wave is unfinished.
 func (c *session) waveActive() bool {
 	for _, row := range c.waveStates {
 		if !row.finished {
@@ -372,9 +372,9 @@
 // expireUnheard removes those workers from unheard on which every lease of the earlier leader has expired.
 func (c *session) expireUnheard(now time.Time) {
 	ended := 0
-	for life, w := range c.uncertainLives {
+	for incarnation, w := range c.uncertainIncarnations {
 		if c.earlierLeasesOverOn(w, now) {
-			delete(c.uncertainLives, life)
+			delete(c.uncertainIncarnations, incarnation)
 			ended++
 		}
 	}
@@ -386,7 +386,7 @@
 
 // expireLease gives up the runs of a worker whose lease has expired. A worker that is not listed either is removed.
 //
-// Expiry does not settle an unanswered start: the next life under the worker's ID may carry it out, and the start's deadline means nothing on that life's clock.
+// Expiry does not settle an unanswered start: the next incarnation under the worker's ID may carry it out, and the start's deadline means nothing on that incarnation's clock.
 func (c *session) expireLease(w *worker, now time.Time) {
 	late := 0
 	for t, r := range w.runs {
@@ -395,33 +395,33 @@
 		}
 	}
 	if !w.listed && late == 0 {
-		c.removeLife(w, "its lease is over and it is not listed") // the life may go on and be listed again
+		c.removeIncarnation(w, "its lease is over and it is not listed") // the incarnation may go on and be listed again
 		return
 	}
 	if over := len(w.runs) - late; over > 0 {
-		c.emit(event.WorkerLost, event.Subject{Instance: w.Life}, "its lease is over runs=%d late=%d", over, late)
+		c.emit(event.WorkerLost, event.Subject{Instance: w.Incarnation}, "its lease is over runs=%d late=%d", over, late)
 		c.abandonRuns(w, func(t *job.Task, r *run) bool { return !w.mayStartLate(t, r, now) })
 	}
 }
 
-// endLife removes a life that has ended from the tables.
+// endIncarnation removes an incarnation that has ended from the tables.
 //
 // While the store does not confirm the lead, this is put off: the runs would be started elsewhere although another leader may have received their ends, or may
-// have ended the life itself.
-func (c *session) endLife(w *worker, why string) {
+// have ended the incarnation itself.
+func (c *session) endIncarnation(w *worker, why string) {
 	if !c.confirmed(c.now()) {
 		w.lostReason = why
 		return
 	}
-	c.endedLives[w.Life] = true
-	c.removeLife(w, why)
+	c.endedIncarnations[w.Incarnation] = true
+	c.removeIncarnation(w, why)
 }
 
-// removeLife removes a life from the tables, whether it has ended or only its lease has expired.
-func (c *session) removeLife(w *worker, why string) {
-	c.emit(event.WorkerLost, event.Subject{Instance: w.Life}, "%s runs=%d", why, len(w.runs))
+// removeIncarnation removes an incarnation from the tables, whether it has ended or only its lease has expired.
+func (c *session) removeIncarnation(w *worker, why string) {
+	c.emit(event.WorkerLost, event.Subject{Instance: w.Incarnation}, "%s runs=%d", why, len(w.runs))
 	c.counts.lost.Inc(1)
-	if c.endedLives[w.Life] && (w.successor == nil || w.Birth != 0) { // an heir of a life without a birth may be the same life
+	if c.endedIncarnations[w.Incarnation] && (w.successor == nil || w.BootID != 0) { // an heir of an incarnation without a boot ID may be the same incarnation
 		c.attributeLostRuns(w, c.now())
 	}
 	c.abandonRuns(w, func(*job.Task, *run) bool { return true })
@@ -429,19 +429,19 @@
 		w.cancel()
 	}
 	c.removeWorker(w)
-	c.markLifeDirty(w.Life)
-	delete(c.storedLives, w.Life)
-	delete(c.aside, lifeKey+w.Life)
+	c.markIncarnationDirty(w.Incarnation)
+	delete(c.storedIncarnations, w.Incarnation)
+	delete(c.aside, incarnationKey+w.Incarnation)
 	c.markPoolDirty(w.Pool) // also for jobs of an earlier leader that waited for this worker
-	delete(c.uncertainLives, w.Life)
+	delete(c.uncertainIncarnations, w.Incarnation)
 	go c.Calls.Forget(&w.Worker)
 }
 
-// abandonRuns lets the tasks of the selected runs start elsewhere without counting an attempt. If the life has ended, attributeLostRuns has recorded
+// abandonRuns lets the tasks of the selected runs start elsewhere without counting an attempt. If the incarnation has ended, attributeLostRuns has recorded
 // the lost runs before; the expiry of a lease is no evidence against them.
 //
-// A run that the life never confirmed may be on the life that now bears its ID, because the start was addressed to the ID and may be carried out late. Such a
-// run is handed on to that life.
+// A run that the incarnation never confirmed may be on the incarnation that now bears its ID, because the start was addressed to the ID and may be carried out late. Such a
+// run is handed on to that incarnation.
 func (c *session) abandonRuns(w *worker, which func(t *job.Task, r *run) bool) {
 	heir, now := c.successorOf(w), c.now()
 	for t, r := range w.runs {
@@ -463,7 +463,7 @@
 	w.setSupersededRuns(nil)
 }
 
-// listMachines requests the list of instances and their lives from the machine interface.
+// listMachines requests the list of instances and their incarnations from the machine interface.
 func (c *session) listMachines() {
 	c.machinesAsking = true
 	c.machinesAskedAt = c.now()
@@ -510,7 +510,7 @@
 	}
 }
 
-// checkInstance ends a silent life if the list of instances names another life for its instance, or does not name the instance.
+// checkInstance ends a silent incarnation if the list of instances names another incarnation for its instance, or does not name the instance.
 func (c *session) checkInstance(w *worker, now time.Time) {
 	if w.silentSince.IsZero() || now.Sub(w.listedSince) < minKnownTime || now.Sub(w.silentSince) < silentAfter || w.Machine == "" {
 		w.missedLists = 0
@@ -520,11 +520,11 @@
 	switch {
 	case ok && (x.ID != w.ID || x.Pool != w.Pool):
 		w.idRetired = x.ID != w.ID
-		c.endLife(w, "the machine interface knows its instance by another life")
+		c.endIncarnation(w, "the machine interface knows its instance by another life")
 	case ok:
 		w.missedLists = 0
 	case w.missedLists > 0: // the pages of a list are no consistent snapshot, so one omission is not enough
-		c.endLife(w, "the machine interface knows its instance no longer")
+		c.endIncarnation(w, "the machine interface knows its instance no longer")
 	default:
 		w.missedLists++
 	}
--- a/work/calls.go
+++ b/work/calls.go
@@ -21,14 +21,14 @@
 	ErrTooManyConnections = errors.New("too many open connections; retry when others have been closed")
 )
 
-// Worker describes one life of a worker, as listed by the platform.
+// Worker describes one incarnation of a worker, as listed by the platform.
 type Worker struct {
-	// Life is the name of this life (see Life.String), Machine the name of the instance that it runs on. A restart
-	// begins a new life.
-	Life, Machine string
-	// ID is the worker's ID in the platform's list. Birth distinguishes the lives that share an ID.
+	// Incarnation is the name of this incarnation (see Incarnation.String), Machine the name of the instance that it runs on. A restart
+	// begins a new incarnation.
+	Incarnation, Machine string
+	// ID is the worker's ID in the platform's list. BootID distinguishes the incarnations that share an ID.
 	ID         string
-	Birth      Birth
+	BootID     BootID
 	Pool       string
 	Address    string
 	DataCentre string
@@ -69,8 +69,8 @@
 	InvalidOrder
 	// Unhealthy means that the worker currently takes no orders; the order had no effect.
 	Unhealthy
-	// OtherLife means that another life of the worker now serves the address.
-	OtherLife
+	// OtherIncarnation means that another incarnation of the worker now serves the address.
+	OtherIncarnation
 )
 
 // String returns the name of the refusal.
@@ -83,8 +83,8 @@
 	Refusal Refusal
 	// Clock is the worker's clock at the time of the answer, or 0 if it was not reported.
 	Clock Clock
-	// Birth identifies the life that answered, or is 0 if it was not reported.
-	Birth Birth
+	// BootID identifies the incarnation that answered, or is 0 if it was not reported.
+	BootID BootID
 }
 
 // Start is an order to start a run.
@@ -162,7 +162,7 @@
 	Gauge float64
 }
 
-// EndedRun is a run that has ended. Seq starts at 1 in each life and increases by one with each run that ends.
+// EndedRun is a run that has ended. Seq starts at 1 in each incarnation and increases by one with each run that ends.
 type EndedRun struct {
 	Seq     int64
 	Task    string
@@ -187,7 +187,7 @@
 	Stop  func(ctx context.Context, w *Worker, o Stop) (Answer, error)
 	Hold  func(ctx context.Context, w *Worker, o Hold) (Report, error)
 	Pace  func(ctx context.Context, w *Worker, o Pace) (Answer, error)
-	// Forget closes the connections to the worker's life for good.
+	// Forget closes the connections to the worker's incarnation for good.
 	Forget func(w *Worker)
 	// ConnectionsScarce reports whether the process is near its connection limit, so that workers without runs
 	// should be polled rarely. CloseIdle closes the connections to such a worker until its next poll. A nil
--- a/work/lease.go
+++ b/work/lease.go
@@ -11,7 +11,7 @@
 // MaxLocal returns the longest time, by the local clock, that a lease of duration d by a worker's clock can last.
 func MaxLocal(d time.Duration) time.Duration { return time.Duration(float64(d) / minClockRate) }
 
-// Lease tracks the clock of one life of a worker and an upper bound on the end of its leases. In the zero value both
+// Lease tracks the clock of one incarnation of a worker and an upper bound on the end of its leases. In the zero value both
 // are unknown.
 //
 // The bound does not require synchronized clocks. Suppose that the worker's clock read C in a message that arrived
