--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -47,8 +47,8 @@
 	return f.Base + f.PerEntry*float64(s.Entries) + f.PerWorker*float64(s.Workers) + f.PerJob*float64(jobs)
 }
 
-// unknowns returns what the figure is taken to depend on, as far as the points differ in it.
-func unknowns(points []Point) []func(Point) float64 {
+// regressors returns what the figure is taken to depend on, as far as the points differ in it.
+func regressors(points []Point) []func(Point) float64 {
 	all := []func(Point) float64{
 		func(Point) float64 { return 1 },
 		func(p Point) float64 { return float64(p.Entries) },
@@ -62,7 +62,7 @@
 
 // FitOf fits the figure to the points by least squares; it fails with fewer points than unknowns.
 func FitOf(fig Figure, points []Point) (Fit, error) {
-	of := unknowns(points)
+	of := regressors(points)
 	if len(points) < len(of) {
 		return Fit{}, fmt.Errorf("%d points do not give %d slopes; measure more sizes", len(points), len(of))
 	}
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -18,14 +18,14 @@
 const (
 	jobCores     = 4
 	jobMemoryMB  = 1024
-	jobTime      = 30 * time.Minute
-	submitAtOnce = 64
-	submitTime   = 15 * time.Second
+	jobRunTime      = 30 * time.Minute
+	maxConcurrentSubmits = 64
+	submitTimeout   = 15 * time.Second
 )
 
 // Submit gives the site's entries the jobs, in turn over entries, pools and teams, and returns the first error.
 func (s Size) Submit(ctx context.Context, jobs int) error {
-	places := make(chan struct{}, submitAtOnce)
+	places := make(chan struct{}, maxConcurrentSubmits)
 	failed := make(chan error, jobs)
 	var work sync.WaitGroup
 	for i := range jobs {
@@ -43,16 +43,16 @@
 }
 
 func (s Size) submit(ctx context.Context, i int) error {
-	ctx, cancel := context.WithTimeout(ctx, submitTime)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	body, err := json.Marshal(fleet.JobSpec{
 		ID: fmt.Sprintf("job-%05d", i), Pool: poolName(i % s.Pools), Cores: jobCores, MemoryMB: jobMemoryMB,
-		RunTime: fleet.Duration(jobTime), Repeatable: true, Command: "run " + jobTime.String(),
+		RunTime: fleet.Duration(jobRunTime), Repeatable: true, Command: "run " + jobRunTime.String(),
 	})
 	if err != nil {
 		return fmt.Errorf("encode job: %w", err)
 	}
-	url := "http://" + loopback(firstPort+portsEach*(i%s.Entries)) + "/v1/jobs"
+	url := "http://" + loopback(firstEntryPort+portsPerEntry*(i%s.Entries)) + "/v1/jobs"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("submit job %d: %w", i, err)
--- a/internal/capacity/lose.go
+++ b/internal/capacity/remove.go
@@ -22,14 +22,14 @@
 		return nil, fmt.Errorf("rack %q and data centre %q have no instance; name one of the site, as in dc-1-rack-0 or dc-1", rack, centre)
 	}
 	for _, id := range lost {
-		if err := lose(ctx, id); err != nil {
+		if err := removeInstance(ctx, id); err != nil {
 			return nil, err
 		}
 	}
 	return lost, nil
 }
 
-func lose(ctx context.Context, id string) error {
+func removeInstance(ctx context.Context, id string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+loopback(platformPort)+"/v1/instances/"+id, nil)
 	if err != nil {
 		return fmt.Errorf("lose %s: %w", id, err)
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -27,7 +27,7 @@
 	Jobs int `json:"jobs"`
 	// MostCPU and MostBytes are those of the entry that used most.
 	MostCPU   float64 `json:"most_cpu_percent"`
-	MostBytes float64 `json:"most_bytes_per_second"`
+	MaxBytes float64 `json:"most_bytes_per_second"`
 	// CPU is the part of one core in percent, Memory the resident bytes.
 	CPU    float64 `json:"cpu_percent"`
 	Memory float64 `json:"memory_bytes"`
@@ -59,7 +59,7 @@
 	if err != nil {
 		return Point{}, err
 	}
-	processes, err := processesOf(dir, size)
+	processes, err := findProcesses(dir, size)
 	if err != nil {
 		return Point{}, err
 	}
@@ -79,7 +79,7 @@
 	if err != nil {
 		return Point{}, err
 	}
-	return point(size, load, before, after, time.Since(begin).Seconds()), nil
+	return newPoint(size, load, before, after, time.Since(begin).Seconds()), nil
 }
 
 // ReadSize returns the size that Write has laid down in the folder.
@@ -95,7 +95,7 @@
 	return size, nil
 }
 
-func processesOf(dir string, s Size) ([]process, error) {
+func findProcesses(dir string, s Size) ([]process, error) {
 	var out []process
 	for i := range s.Entries {
 		b, err := os.ReadFile(filepath.Join(dir, EntryName(i)+".pid"))
@@ -155,7 +155,7 @@
 	return reading{ticks: number(fieldUser) + number(fieldSystem), memory: number(fieldResident) * float64(os.Getpagesize()), status: st}, nil
 }
 
-func point(size Size, load string, before, after []reading, seconds float64) Point {
+func newPoint(size Size, load string, before, after []reading, seconds float64) Point {
 	p := Point{Size: size, Load: load, Seconds: seconds}
 	n := float64(len(after))
 	for i := range after {
@@ -168,7 +168,7 @@
 		p.PeerBytes += peers / n
 		p.PlatformBytes += platform / n
 		p.MostCPU = max(p.MostCPU, cpu)
-		p.MostBytes = max(p.MostBytes, peers+platform)
+		p.MaxBytes = max(p.MaxBytes, peers+platform)
 	}
 	p.Jobs = after[0].status.Jobs[fleet.JobRunning]
 	p.Records = float64(after[0].status.Offset-before[0].status.Offset) / seconds
--- a/internal/capacity/site.go
+++ b/internal/capacity/site.go
@@ -25,8 +25,8 @@
 // Ports and tokens of a measured site.
 const (
 	platformPort  = 20000
-	firstPort     = 20010
-	portsEach     = 3
+	firstEntryPort     = 20010
+	portsPerEntry     = 3
 	OperatorToken = "capacity-operator-token"
 )
 
@@ -34,11 +34,11 @@
 func EntryName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
 // OperatorAddress returns the address of the i-th entry's operators' interface.
-func OperatorAddress(i int) string { return loopback(firstPort + portsEach*i + 1) }
+func OperatorAddress(i int) string { return loopback(firstEntryPort + portsPerEntry*i + 1) }
 
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-func (s Size) centre(i int) string { return fmt.Sprintf("dc-%d", i%s.Centres+1) }
+func (s Size) dataCentreName(i int) string { return fmt.Sprintf("dc-%d", i%s.Centres+1) }
 
 // Write lays down the settings of the stand-in, the entries and the configuration in the folder.
 func (s Size) Write(dir string) error {
@@ -94,11 +94,11 @@
 func (s Size) standin() Standin {
 	out := Standin{Address: loopback(platformPort)}
 	for i := range s.Workers {
-		out.Instances = append(out.Instances, Instance{ID: worker(i), Role: "worker", DataCentre: s.centre(i),
-			Rack: fmt.Sprintf("%s-rack-%d", s.centre(i), i/s.Centres/rackSize), Cores: 32, MemoryMB: 64 << 10})
+		out.Instances = append(out.Instances, Instance{ID: workerName(i), Role: "worker", DataCentre: s.dataCentreName(i),
+			Rack: fmt.Sprintf("%s-rack-%d", s.dataCentreName(i), i/s.Centres/rackSize), Cores: 32, MemoryMB: 64 << 10})
 	}
 	for i := range s.Entries {
-		out.Instances = append(out.Instances, Instance{ID: EntryName(i), Role: "entry", DataCentre: s.centre(i)})
+		out.Instances = append(out.Instances, Instance{ID: EntryName(i), Role: "entry", DataCentre: s.dataCentreName(i)})
 	}
 	return out
 }
@@ -107,19 +107,19 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
 
-func worker(i int) string { return fmt.Sprintf("worker-%04d", i) }
+func workerName(i int) string { return fmt.Sprintf("worker-%04d", i) }
 
 func (s Size) configuration() fleet.Configuration {
 	c := fleet.Configuration{Operators: []fleet.Operator{{Name: "operator", TokenHash: serve.TokenHash(OperatorToken)}}}
 	var all []string
 	for i := range s.Centres {
-		all = append(all, s.centre(i))
-		c.DataCentres = append(c.DataCentres, fleet.DataCentre{Name: s.centre(i), Region: fmt.Sprintf("region-%d", 1+2*i/s.Centres)})
+		all = append(all, s.dataCentreName(i))
+		c.DataCentres = append(c.DataCentres, fleet.DataCentre{Name: s.dataCentreName(i), Region: fmt.Sprintf("region-%d", 1+2*i/s.Centres)})
 	}
 	for i := range s.Pools {
 		p := fleet.Pool{Name: poolName(i)}
 		for w := i; w < s.Workers; w += s.Pools {
-			p.Members = append(p.Members, worker(w))
+			p.Members = append(p.Members, workerName(w))
 		}
 		c.Pools = append(c.Pools, p)
 		c.Services = append(c.Services, fleet.Service{Name: p.Name, Pool: p.Name, DataCentres: all, MinAvailable: len(p.Members) * 4 / 5})
@@ -131,18 +131,18 @@
 	return c
 }
 
-// seeds is the number of other entries that an entry's settings name; the log tells it of the rest.
-const seeds = 6
+// maxSeedPeers is the number of other entries that an entry's settings name; the log tells it of the rest.
+const maxSeedPeers = 6
 
 func (s Size) settings(i int) config.Settings {
 	out := config.Settings{
-		Entry: EntryName(i), DataCentre: s.centre(i), CallerAddress: loopback(firstPort + portsEach*i), OperatorAddress: OperatorAddress(i),
-		PeerAddress: loopback(firstPort + portsEach*i + 2), Platform: "http://" + loopback(platformPort), PeerSecret: "capacity-peer-secret",
+		Entry: EntryName(i), DataCentre: s.dataCentreName(i), CallerAddress: loopback(firstEntryPort + portsPerEntry*i), OperatorAddress: OperatorAddress(i),
+		PeerAddress: loopback(firstEntryPort + portsPerEntry*i + 2), Platform: "http://" + loopback(platformPort), PeerSecret: "capacity-peer-secret",
 		BootstrapTokenHash: serve.TokenHash(OperatorToken),
 	}
-	for n := 1; n <= min(seeds, s.Entries-1); n++ {
+	for n := 1; n <= min(maxSeedPeers, s.Entries-1); n++ {
 		j := (i + n) % s.Entries
-		out.Peers = append(out.Peers, config.Peer{Entry: EntryName(j), DataCentre: s.centre(j), Address: loopback(firstPort + portsEach*j + 2)})
+		out.Peers = append(out.Peers, config.Peer{Entry: EntryName(j), DataCentre: s.dataCentreName(j), Address: loopback(firstEntryPort + portsPerEntry*j + 2)})
 	}
 	return out
 }
--- a/internal/drive/cost_test.go
+++ b/internal/drive/cost_test.go
@@ -10,26 +10,26 @@
 	"rackstep.dev/place"
 )
 
-// scaled returns the two-year size cut down to the number of pools.
-func scaled(pools int) Size {
+// scaledTo returns the two-year size cut down to the number of pools.
+func scaledTo(pools int) Size {
 	s := TwoYears()
 	s.Teams = s.Teams * pools / s.Pools
 	s.Pools = pools
 	return s
 }
 
-// filled returns the tables of the size with its jobs placed.
-func filled(s Size) *fleet.Tables {
-	r := newRun(s, Policy{}, 1)
-	r.fill()
-	r.place()
-	return r.t
+// newPlacedTables returns the tables of the size with its jobs placed.
+func newPlacedTables(s Size) *fleet.Tables {
+	r := newSimulation(s, Policy{}, 1)
+	r.submitJobs()
+	r.placeJobs()
+	return r.tables
 }
 
 // BenchmarkCheckpoint gives the time and the bytes of carrying the tables forward, at three sizes.
 func BenchmarkCheckpoint(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
-		t := filled(scaled(pools))
+		t := newPlacedTables(scaledTo(pools))
 		name := fmt.Sprintf("workers=%d/jobs=%d", t.Instances.Len(), t.Jobs.Len())
 		data, err := t.Checkpoint()
 		if err != nil {
@@ -58,15 +58,15 @@
 // BenchmarkPlace gives the time of one decision with a hundred pending jobs, at three sizes.
 func BenchmarkPlace(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
-		r := newRun(scaled(pools), Policy{}, 1)
-		r.fill()
-		r.place()
+		r := newSimulation(scaledTo(pools), Policy{}, 1)
+		r.submitJobs()
+		r.placeJobs()
 		for i := range 100 {
 			r.submit(poolName(i%pools), 1)
 		}
-		b.Run(fmt.Sprintf("workers=%d/jobs=%d", r.t.Instances.Len(), r.t.Jobs.Len()), func(b *testing.B) {
+		b.Run(fmt.Sprintf("workers=%d/jobs=%d", r.tables.Instances.Len(), r.tables.Jobs.Len()), func(b *testing.B) {
 			for b.Loop() {
-				if d := place.Decide(r.t, place.Options{}); len(d.Starts) == 0 {
+				if d := place.Decide(r.tables, place.Options{}); len(d.Starts) == 0 {
 					b.Fatal("nothing was placed")
 				}
 			}
@@ -77,10 +77,10 @@
 // BenchmarkFold gives the time of one record of a job's course, at three sizes.
 func BenchmarkFold(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
-		r := newRun(scaled(pools), Policy{}, 1)
-		r.fill()
-		r.place()
-		b.Run(fmt.Sprintf("workers=%d/jobs=%d", r.t.Instances.Len(), r.t.Jobs.Len()), func(b *testing.B) {
+		r := newSimulation(scaledTo(pools), Policy{}, 1)
+		r.submitJobs()
+		r.placeJobs()
+		b.Run(fmt.Sprintf("workers=%d/jobs=%d", r.tables.Instances.Len(), r.tables.Jobs.Len()), func(b *testing.B) {
 			for b.Loop() {
 				r.submit(poolName(0), 1)
 			}
--- /dev/null
+++ b/internal/drive/simulate.go
@@ -0,0 +1,396 @@
+// SPDX-License-Identifier: MIT
+
+package drive
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"rackstep.dev/fleet"
+	"rackstep.dev/place"
+	"rackstep.dev/plan"
+)
+
+// Policy chooses between rackstep's decisions and the baseline.
+type Policy struct {
+	// Baseline maintains one rack at a time, moves every job at once and places on the first worker with room.
+	Baseline bool
+	// RackFails takes a whole rack down for a while in the middle of the wave.
+	RackFails bool
+	// Declared plans on the sizes that callers declare, as if the platform reported no usage.
+	Declared bool
+}
+
+// SumWaves returns the sums of several results, so that ratios of them are means.
+func SumWaves(s Size, p Policy, seeds int) Result {
+	sum := Result{Size: s.Name, Policy: p, Completed: true}
+	for seed := range seeds {
+		r := SimulateWave(s, p, uint64(seed))
+		sum.RollOut += r.RollOut
+		sum.RollOutBound += r.RollOutBound
+		sum.Moves += r.Moves
+		sum.MovesBound += r.MovesBound
+		sum.UnavoidableMoves += r.UnavoidableMoves
+		sum.RepeatMoves += r.RepeatMoves
+		sum.Buffer += r.Buffer
+		sum.BufferBound += r.BufferBound
+		sum.PeakOut = max(sum.PeakOut, r.PeakOut)
+		sum.Jobs += r.Jobs
+		sum.Completed = sum.Completed && r.Completed
+		sum.RunSeconds += r.RunSeconds
+		sum.SlowedSeconds += r.SlowedSeconds
+		sum.OverloadSeconds += r.OverloadSeconds
+		sum.Measures += r.Measures
+		sum.Throttles += r.Throttles
+		sum.Yields += r.Yields
+		sum.MinMargin = min(sum.MinMargin, r.MinMargin)
+	}
+	return sum
+}
+
+// Result is what one maintenance wave cost, beside the bounds.
+type Result struct {
+	Size         string
+	Policy       Policy
+	RollOut      time.Duration
+	RollOutBound time.Duration
+	Moves        int
+	// MovesBound counts the jobs of the beginning that could not end before their worker's turn.
+	MovesBound int
+	// UnavoidableMoves counts those that outlast the shortest wave, whatever the order of the turns.
+	UnavoidableMoves int
+	// RepeatMoves counts the moves of jobs that had been moved before.
+	RepeatMoves int
+	// Buffer is the mean number of instances out while the wave ran, BufferBound the least mean for its length.
+	Buffer, BufferBound float64
+	// PeakOut is the most instances out at once.
+	PeakOut int
+	// Jobs is the number of jobs that ran, Ended says that the wave came to its end.
+	Jobs  int
+	Completed bool
+	// RunSeconds are the seconds that jobs ran, Lost those of them that they did not get on because they were slowed, Overload
+	// those lost because more was in use than the instance has.
+	RunSeconds, SlowedSeconds, OverloadSeconds float64
+	// Measures, Throttles and Yields count what was decided because of usage.
+	Measures, Throttles, Yields int
+	// MinMargin is the least that a take-out left to a budget.
+	MinMargin int
+}
+
+const (
+	tick        = 5 * time.Second
+	maxWaveTime = 48 * time.Hour
+	rackOutage  = 30 * time.Minute
+	// checkpointTime is how long a displaced job takes to stop with its progress kept.
+	checkpointTime = 10 * time.Second
+)
+
+// simJob is a job's true course, which the decisions do not know.
+type simJob struct {
+	remaining    time.Duration // of its true run time
+	cores    float64       // the cores that it takes when nothing holds it back
+	usage    place.Seen    // what the platform reports
+	startedAt   time.Time     // of the current attempt
+	checkpointAt time.Time     // when its checkpoint is complete; zero when it stays
+	onFirstInstance   bool          // it has been on its first worker since before the wave
+}
+
+// simulation drives one wave.
+type simulation struct {
+	size   Size
+	policy Policy
+	tables      *fleet.Tables
+	now    time.Time
+	offset int64
+	random *rand.Rand
+	jobs   map[string]*simJob
+	commandEnds   map[string]time.Time // when each command is done
+	nextJob   int
+	outSeconds    float64 // instance-seconds out of service
+	result    Result
+}
+
+// SimulateWave maintains every instance of the fleet once and returns what that cost.
+func SimulateWave(s Size, p Policy, seed uint64) Result {
+	r := newSimulation(s, p, seed)
+	r.submitJobs()
+	r.placeJobs()
+	// Jobs in the middle of their course: the fleet has been running for long.
+	for id := range r.tables.Jobs.All {
+		w := r.jobs[id]
+		w.onFirstInstance = true
+		ran := time.Duration(r.random.Float64() * float64(w.remaining) / 2)
+		w.startedAt = r.now.Add(-ran)
+		w.remaining -= ran
+	}
+	r.runPlan()
+	return r.result
+}
+
+func newSimulation(s Size, p Policy, seed uint64) *simulation {
+	return &simulation{size: s, policy: p, tables: s.Tables(), now: time.Unix(1_000_000, 0), offset: 2, random: rand.New(rand.NewPCG(3, seed)),
+		jobs: make(map[string]*simJob), commandEnds: make(map[string]time.Time), result: Result{Size: s.Name, Policy: p, MinMargin: math.MaxInt}}
+}
+
+func (r *simulation) apply(rec fleet.Record) bool {
+	rec.ID = fmt.Sprint("r", r.offset)
+	rec.Time = r.now
+	refused := r.tables.Apply(r.offset, rec)
+	r.offset++
+	return refused == nil
+}
+
+// submitJobs submits jobs until they ask for the fill of the cores.
+func (r *simulation) submitJobs() {
+	asked := make(map[string]int)
+	for _, j := range r.tables.Jobs.All {
+		if !j.State.Ended() {
+			asked[j.Spec.Pool] += j.Spec.Cores
+		}
+	}
+	for i := range r.size.Pools {
+		pool := poolName(i)
+		for asked[pool] < int(r.size.Utilisation*float64(r.size.PoolSize*r.size.Cores)) {
+			cores := 1 + r.random.IntN(r.size.Cores/4)
+			asked[pool] += cores
+			r.submit(pool, cores)
+		}
+	}
+}
+
+func (r *simulation) submit(pool string, cores int) {
+	course := time.Duration((0.2 + r.random.ExpFloat64()) * float64(r.size.MeanRunTime))
+	wrong := math.Pow(r.size.EstimateError, 2*r.random.Float64()-1)
+	id := fmt.Sprintf("job-%06d", r.nextJob)
+	r.nextJob++
+	spec := fleet.JobSpec{ID: id, Pool: pool, Cores: cores, MemoryMB: 256, RunTime: fleet.Duration(float64(course) * wrong), Repeatable: r.random.IntN(2) == 0}
+	if r.apply(fleet.Record{By: "team", Submit: &fleet.Submit{Team: teamName(r.random.IntN(r.size.Teams)), Spec: spec}}) {
+		r.jobs[id] = &simJob{remaining: course, cores: r.trueCores(cores)}
+		r.result.Jobs++
+	}
+}
+
+func (r *simulation) placeJobs() {
+	d := place.Decide(r.tables, place.Options{FirstFit: r.policy.Baseline, Until: r.untilDrain(), Margin: r.runTimeMargin()})
+	for _, s := range d.Starts {
+		if r.apply(fleet.Record{Start: &s}) {
+			r.apply(fleet.Record{Settle: &fleet.Settle{Job: s.Job, Attempt: s.Attempt, Outcome: fleet.OutcomeRunning}})
+			r.jobs[s.Job].startedAt = r.now
+		}
+	}
+}
+
+// runTimeMargin is what declared run times are multiplied by; 0 is what the tables have learned.
+func (r *simulation) runTimeMargin() float64 {
+	if r.policy.Declared {
+		return 2
+	}
+	return 0
+}
+
+func (r *simulation) untilDrain() func(string) (time.Duration, bool) {
+	if r.policy.Baseline {
+		return nil
+	}
+	return plan.Turns(r.tables, r.costs())
+}
+
+func (r *simulation) costs() plan.Costs { return plan.Costs{Maintenance: r.size.Maintenance} }
+
+func (r *simulation) runPlan() {
+	p, err := plan.Make(r.tables, "wave", fleet.Intent{Kind: fleet.IntentMaintain}, r.costs())
+	if err != nil {
+		return
+	}
+	r.result.RollOutBound = p.Estimate.RollOutBound
+	r.result.UnavoidableMoves = r.countOutlasting(p.Estimate.RollOutBound)
+	if r.policy.Baseline {
+		r.waveByRack(&p)
+	}
+	r.apply(fleet.Record{By: "operator", Propose: &fleet.Propose{Plan: p}})
+	r.apply(fleet.Record{By: "operator", Control: &fleet.Control{Plan: "wave", Order: fleet.OrderConfirm}})
+	begin := r.now
+	for r.tables.Plans.Get("wave").State == fleet.PlanRunning && r.now.Sub(begin) < maxWaveTime {
+		r.now = r.now.Add(tick)
+		r.step(begin)
+	}
+	r.result.RollOut = r.now.Sub(begin)
+	r.result.Completed = r.tables.Plans.Get("wave").State == fleet.PlanDone
+	r.result.Buffer = r.outSeconds / r.result.RollOut.Seconds()
+	r.result.BufferBound = float64(len(p.Steps)) * r.size.Maintenance.Seconds() / r.result.RollOut.Seconds()
+	for _, j := range r.tables.Jobs.All {
+		r.result.Moves += j.Moves
+		r.result.RepeatMoves += max(0, j.Moves-1)
+	}
+}
+
+// waveByRack gives each rack a wave of its own.
+func (r *simulation) waveByRack(p *fleet.Plan) {
+	waves := make(map[string]int)
+	for i := range p.Steps {
+		rack := r.tables.Instances.Get(p.Steps[i].Instance).Rack
+		if _, ok := waves[rack]; !ok {
+			waves[rack] = len(waves)
+		}
+		p.Steps[i].Wave = waves[rack]
+	}
+	p.Waves = len(waves)
+}
+
+// countOutlasting counts the jobs that outlast even the shortest wave, whatever their worker's turn is.
+func (r *simulation) countOutlasting(shortest time.Duration) int {
+	n := 0
+	for id, w := range r.jobs {
+		if j := r.tables.Jobs.Get(id); j.State == fleet.JobRunning && w.remaining > shortest {
+			n++
+		}
+	}
+	return n
+}
+
+func (r *simulation) step(begin time.Time) {
+	if r.policy.RackFails {
+		r.failRack(begin)
+	}
+	r.runJobs()
+	r.endJobs()
+	r.submitJobs()
+	r.applyUsage()
+	r.advancePlan()
+	r.checkpointDraining()
+	r.placeJobs()
+	r.countOut()
+}
+
+// failRack takes one rack down a quarter into the bound, and brings it back.
+func (r *simulation) failRack(begin time.Time) {
+	at := begin.Add(r.result.RollOutBound / 4)
+	var down bool
+	switch {
+	case r.now.After(at) && !r.now.After(at.Add(tick)):
+		down = true
+	case r.now.After(at.Add(rackOutage)) && !r.now.After(at.Add(rackOutage+tick)):
+	default:
+		return
+	}
+	var seen []fleet.Observation
+	for id, in := range r.tables.Instances.All {
+		if in.Rack == r.size.rack(0) {
+			seen = append(seen, fleet.Observation{ID: id, Down: down})
+		}
+	}
+	r.apply(fleet.Record{Observe: &fleet.Observe{Instances: seen}})
+	if !down {
+		return
+	}
+	for id, j := range r.tables.Jobs.All {
+		w := r.jobs[id]
+		if w != nil && j.State == fleet.JobRunning && r.tables.Instances.Get(j.Instance).Down {
+			r.settle(j, fleet.OutcomeStopped)
+			w.checkpointAt = time.Time{}
+		}
+	}
+}
+
+func (r *simulation) settle(j *fleet.Job, o fleet.Outcome) {
+	ran := r.now.Sub(r.jobs[j.ID].startedAt)
+	r.apply(fleet.Record{Settle: &fleet.Settle{Job: j.ID, Attempt: j.Attempt, Outcome: o, Ran: ran}})
+}
+
+func (r *simulation) endJobs() {
+	for id, j := range r.tables.Jobs.All {
+		w := r.jobs[id]
+		switch {
+		case w == nil:
+		case j.State.Ended():
+			delete(r.jobs, id)
+		case j.State != fleet.JobRunning:
+		case w.remaining <= 0:
+			r.settle(j, fleet.OutcomeDone)
+			delete(r.jobs, id)
+		case !w.checkpointAt.IsZero() && !r.now.Before(w.checkpointAt):
+			w.checkpointAt = time.Time{}
+			r.settle(j, fleet.OutcomeCheckpointed)
+		}
+	}
+}
+
+// checkpointDraining has the jobs on draining instances leave, unless they are about to end.
+func (r *simulation) checkpointDraining() {
+	patience := r.costs().Wait(r.size.Weights)
+	if r.policy.Baseline {
+		patience = 0
+	}
+	for id, j := range r.tables.Jobs.All {
+		w := r.jobs[id]
+		if w == nil || j.State != fleet.JobRunning || !w.checkpointAt.IsZero() || r.tables.Instances.Get(j.Instance).State != fleet.InstanceDraining {
+			continue
+		}
+		if plan.Leaves(j, r.now.Sub(w.startedAt), patience) {
+			w.checkpointAt = r.now.Add(checkpointTime)
+		}
+	}
+}
+
+func (r *simulation) planFacts() plan.Facts {
+	return plan.Facts{
+		Acknowledged: func(*fleet.Instance) []string { return nil },
+		Missing:      func(*fleet.Instance) string { return "" },
+		Command: func(id string) plan.CommandFact {
+			done, asked := r.commandEnds[id]
+			switch {
+			case !asked:
+				return plan.CommandUnasked
+			case r.now.Before(done):
+				return plan.CommandRunning
+			}
+			return plan.CommandDone
+		},
+	}
+}
+
+// advancePlan carries out what may be done now, until nothing more follows.
+func (r *simulation) advancePlan() {
+	for again := true; again; {
+		again = false
+		for _, d := range plan.Next(r.tables, r.tables.Plans.Get("wave"), r.planFacts()) {
+			switch {
+			case d.Advance != nil:
+				if r.apply(fleet.Record{Advance: d.Advance}) {
+					again = true
+					r.recordDrain(d.Advance)
+				}
+			case d.Command != nil:
+				r.commandEnds[d.Command.ID] = r.now.Add(r.size.Maintenance)
+			}
+		}
+	}
+}
+
+func (r *simulation) recordDrain(a *fleet.Advance) {
+	if a.To != fleet.StepDraining {
+		return
+	}
+	for id, w := range r.jobs {
+		if j := r.tables.Jobs.Get(id); w.onFirstInstance && j.Instance == a.Instance && j.State == fleet.JobRunning && w.remaining > 0 {
+			r.result.MovesBound++
+			w.onFirstInstance = false
+		}
+	}
+	for _, b := range r.tables.Configuration.Budgets() {
+		r.result.MinMargin = min(r.result.MinMargin, r.tables.Spare(b).Total)
+	}
+}
+
+func (r *simulation) countOut() {
+	out := 0
+	for _, in := range r.tables.Instances.All {
+		if in.State != fleet.InstanceServing {
+			out++
+		}
+	}
+	r.result.PeakOut = max(r.result.PeakOut, out)
+	r.outSeconds += float64(out) * tick.Seconds()
+}
--- a/internal/drive/size.go
+++ b/internal/drive/size.go
@@ -13,18 +13,18 @@
 type Size struct {
 	Name        string
 	Pools       int
-	Each        int // instances in each pool
+	PoolSize        int // instances in each pool
 	Spare       int // of each pool, that the budget lets be out at once
 	DataCentres int
 	RackSize    int
 	Cores       int
 	MemoryMB    int
 	Teams       int
-	// Fill is the part of the cores that jobs hold.
-	Fill float64
-	// MeanRun is the mean true run time of a job; declared times are wrong by up to Wrong times either way.
-	MeanRun time.Duration
-	Wrong   float64
+	// Utilisation is the part of the cores that jobs hold.
+	Utilisation float64
+	// MeanRunTime is the mean true run time of a job; declared times are wrong by up to Wrong times either way.
+	MeanRunTime time.Duration
+	EstimateError   float64
 	// Maintenance is the time of one reboot.
 	Maintenance time.Duration
 	Weights     fleet.Weights
@@ -32,8 +32,8 @@
 
 // Muscat is the catalogue's site as the brief gives it.
 func Muscat() Size {
-	return Size{Name: "muscat", Pools: 5, Each: 10, Spare: 2, DataCentres: 4, RackSize: 4, Cores: 16, MemoryMB: 32 << 10, Teams: 4, Fill: 0.6,
-		MeanRun: 20 * time.Minute, Wrong: 4, Maintenance: 5 * time.Minute, Weights: fleet.Weights{RollOut: 1, Buffer: 1, Moves: 0.25}}
+	return Size{Name: "muscat", Pools: 5, PoolSize: 10, Spare: 2, DataCentres: 4, RackSize: 4, Cores: 16, MemoryMB: 32 << 10, Teams: 4, Utilisation: 0.6,
+		MeanRunTime: 20 * time.Minute, EstimateError: 4, Maintenance: 5 * time.Minute, Weights: fleet.Weights{RollOut: 1, Buffer: 1, Moves: 0.25}}
 }
 
 // Norrskalv is the seismograph network's site.
@@ -47,7 +47,7 @@
 // TwoYears is the size of letter 1.
 func TwoYears() Size {
 	s := Muscat()
-	s.Name, s.Pools, s.Each, s.Spare, s.DataCentres, s.Teams, s.Cores = "two-years", 22, 36, 4, 8, 350, 32
+	s.Name, s.Pools, s.PoolSize, s.Spare, s.DataCentres, s.Teams, s.Cores = "two-years", 22, 36, 4, 8, 350, 32
 	s.MemoryMB = 64 << 10
 	return s
 }
@@ -63,11 +63,11 @@
 	return fmt.Sprintf("%s-rack-%02d", s.centre(i), i/s.DataCentres/s.RackSize)
 }
 
-const anyHash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
+const placeholderTokenHash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
 // Configuration returns the fleet's configuration.
 func (s Size) Configuration() fleet.Configuration {
-	c := fleet.Configuration{Weights: s.Weights, Operators: []fleet.Operator{{Name: "operator", TokenHash: anyHash}}}
+	c := fleet.Configuration{Weights: s.Weights, Operators: []fleet.Operator{{Name: "operator", TokenHash: placeholderTokenHash}}}
 	var all []string
 	for i := range s.DataCentres {
 		all = append(all, s.centre(i))
@@ -75,27 +75,27 @@
 	}
 	for i := range s.Pools {
 		p := fleet.Pool{Name: poolName(i)}
-		for j := range s.Each {
-			p.Members = append(p.Members, instanceName(i*s.Each+j))
+		for j := range s.PoolSize {
+			p.Members = append(p.Members, instanceName(i*s.PoolSize+j))
 		}
 		c.Pools = append(c.Pools, p)
-		c.Services = append(c.Services, fleet.Service{Name: poolName(i), Pool: poolName(i), DataCentres: all, MinAvailable: s.Each - s.Spare})
+		c.Services = append(c.Services, fleet.Service{Name: poolName(i), Pool: poolName(i), DataCentres: all, MinAvailable: s.PoolSize - s.Spare})
 	}
 	for i := range s.Teams {
-		c.Teams = append(c.Teams, fleet.Team{Name: teamName(i), TokenHash: anyHash, JobCores: s.quota()})
+		c.Teams = append(c.Teams, fleet.Team{Name: teamName(i), TokenHash: placeholderTokenHash, JobCores: s.quota()})
 	}
 	return c
 }
 
 // quota gives every team twice its even part of the cores.
-func (s Size) quota() int { return max(s.Cores, 2*s.Pools*s.Each*s.Cores/s.Teams) }
+func (s Size) quota() int { return max(s.Cores, 2*s.Pools*s.PoolSize*s.Cores/s.Teams) }
 
 // Tables returns the tables of the fleet before any job.
 func (s Size) Tables() *fleet.Tables {
 	t := fleet.New()
 	t.Apply(0, fleet.Record{ID: "configure", Configure: &fleet.Configure{Configuration: s.Configuration()}})
 	var seen []fleet.Observation
-	for i := range s.Pools * s.Each {
+	for i := range s.Pools * s.PoolSize {
 		seen = append(seen, fleet.Observation{ID: instanceName(i), DataCentre: s.centre(i), Rack: s.rack(i), Address: "10.0.0.1:80", Cores: s.Cores, MemoryMB: s.MemoryMB})
 	}
 	t.Apply(1, fleet.Record{ID: "observe", Observe: &fleet.Observe{Instances: seen}})
--- a/internal/drive/usage.go
+++ b/internal/drive/usage.go
@@ -15,69 +15,69 @@
 
 // trueCores returns what a job with the declared cores uses; declared sizes are wrong by up to Wrong times either way, and
 // right on average.
-func (r *run) trueCores(declared int) float64 {
-	if r.size.Wrong <= 1 {
+func (r *simulation) trueCores(declared int) float64 {
+	if r.size.EstimateError <= 1 {
 		return float64(declared)
 	}
-	mean := (r.size.Wrong - 1/r.size.Wrong) / (2 * math.Log(r.size.Wrong))
-	wrong := math.Pow(r.size.Wrong, 2*r.random.Float64()-1) / mean
+	mean := (r.size.EstimateError - 1/r.size.EstimateError) / (2 * math.Log(r.size.EstimateError))
+	wrong := math.Pow(r.size.EstimateError, 2*r.random.Float64()-1) / mean
 	return min(float64(r.size.Cores), float64(declared)*wrong)
 }
 
-// takes returns the cores that the job would take now, within its throttle.
-func (w *work) takes(j *fleet.Job) float64 {
+// throttledCores returns the cores that the job would take now, within its throttle.
+func (w *simJob) throttledCores(j *fleet.Job) float64 {
 	if j.Limit > 0 {
-		return min(w.uses, float64(j.Limit))
+		return min(w.cores, float64(j.Limit))
 	}
-	return w.uses
+	return w.cores
 }
 
-// work lets every running job get on by one tick; where too much is in use all are slowed alike.
-func (r *run) work() {
+// runJobs lets every running job get on by one tick; where too much is in use all are slowed alike.
+func (r *simulation) runJobs() {
 	taken := make(map[string]float64)
-	for id, j := range r.t.Jobs.All {
+	for id, j := range r.tables.Jobs.All {
 		if w := r.jobs[id]; w != nil && j.State == fleet.JobRunning {
-			taken[j.Instance] += w.takes(j)
+			taken[j.Instance] += w.throttledCores(j)
 		}
 	}
-	for id, j := range r.t.Jobs.All {
+	for id, j := range r.tables.Jobs.All {
 		w := r.jobs[id]
 		if w == nil || j.State != fleet.JobRunning {
 			continue
 		}
 		rate := min(1, float64(r.size.Cores)/taken[j.Instance])
-		r.res.Overload += (1 - rate) * tick.Seconds()
-		rate *= w.takes(j) / w.uses
-		w.left -= time.Duration(rate * float64(tick))
-		w.seen = place.Seen{Cores: rate * w.uses, MemoryMB: j.Spec.MemoryMB, Ran: r.now.Sub(w.since) - usageLag}
-		r.res.Lost += (1 - rate) * tick.Seconds()
-		r.res.Ran += tick.Seconds()
+		r.result.OverloadSeconds += (1 - rate) * tick.Seconds()
+		rate *= w.throttledCores(j) / w.cores
+		w.remaining -= time.Duration(rate * float64(tick))
+		w.usage = place.Seen{Cores: rate * w.cores, MemoryMB: j.Spec.MemoryMB, Ran: r.now.Sub(w.startedAt) - usageLag}
+		r.result.SlowedSeconds += (1 - rate) * tick.Seconds()
+		r.result.RunSeconds += tick.Seconds()
 	}
 }
 
-// measure brings charges up to what was seen and relieves instances on which too much is in use.
-func (r *run) measure() {
+// applyUsage brings charges up to what was seen and relieves instances on which too much is in use.
+func (r *simulation) applyUsage() {
 	if r.policy.Declared || r.policy.Baseline {
 		return
 	}
-	for id, j := range r.t.Jobs.All {
+	for id, j := range r.tables.Jobs.All {
 		w := r.jobs[id]
-		if w == nil || j.State != fleet.JobRunning || w.seen.Ran < 0 {
+		if w == nil || j.State != fleet.JobRunning || w.usage.Ran < 0 {
 			continue
 		}
-		if m, differs := place.Measured(j, w.seen); differs && r.apply(fleet.Record{Measure: &m}) {
-			r.res.Measures++
+		if m, differs := place.Measured(j, w.usage); differs && r.apply(fleet.Record{Measure: &m}) {
+			r.result.Measures++
 		}
 	}
-	relief := place.Relieve(r.t)
+	relief := place.Relieve(r.tables)
 	for _, s := range relief.Throttles {
 		r.apply(fleet.Record{Throttle: &s})
-		r.res.Throttles++
+		r.result.Throttles++
 	}
 	for _, y := range relief.Yields {
 		if r.apply(fleet.Record{Yield: &y}) {
-			r.jobs[y.Job].leaving = r.now.Add(checkpointTime)
-			r.res.Yields++
+			r.jobs[y.Job].checkpointAt = r.now.Add(checkpointTime)
+			r.result.Yields++
 		}
 	}
 }
--- a/internal/trial/claims_bench_test.go
+++ b/internal/trial/claims_bench_test.go
@@ -17,7 +17,7 @@
 // Sizes of BenchmarkClaims.
 const (
 	claimsPerSecond  = 2000
-	claimsTime       = 5 * time.Second
+	claimsDuration       = 5 * time.Second
 	appendsPerSecond = 300
 )
 
@@ -37,7 +37,7 @@
 func claimAtRate(b *testing.B, rate int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	site := published(ctx, b, Spec{DataCentres: 4, EntriesEach: 2, Services: 1, RunnersEach: 12, Cores: 1, RackSize: 4})
+	site := startPublished(ctx, b, Spec{DataCentres: 4, EntriesEach: 2, Services: 1, RunnersEach: 12, Cores: 1, RackSize: 4})
 	defer site.Stop()
 	time.Sleep(2 * time.Second) // until all links are up and the owners agree
 	site.Platform.SetFaults(standin.Faults{AppendsPerSecond: appendsPerSecond})
@@ -47,10 +47,10 @@
 	sendClaims(load, rate)
 	used = processorTime() - used
 	after, refused := site.Platform.Appends()
-	reportClaims(b, site, load, float64(rate)*claimsTime.Seconds())
-	b.ReportMetric(float64(after-before)/claimsTime.Seconds(), "appends/s")
+	reportClaims(b, site, load, float64(rate)*claimsDuration.Seconds())
+	b.ReportMetric(float64(after-before)/claimsDuration.Seconds(), "appends/s")
 	b.ReportMetric(float64(refused), "appends-refused")
-	b.ReportMetric(used.Seconds()/claimsTime.Seconds(), "cores")
+	b.ReportMetric(used.Seconds()/claimsDuration.Seconds(), "cores")
 }
 
 // sendClaims sends the requests at the rate, whatever becomes of those before, and waits for all.
@@ -58,7 +58,7 @@
 	callers := load.Site.Callers()
 	var all sync.WaitGroup
 	begin := time.Now()
-	for i := range int(float64(rate) * claimsTime.Seconds()) {
+	for i := range int(float64(rate) * claimsDuration.Seconds()) {
 		time.Sleep(time.Until(begin.Add(time.Duration(i) * time.Second / time.Duration(rate))))
 		copies := 1
 		if i%20 == 0 {
@@ -67,7 +67,7 @@
 		notAfter := time.Now().Add(time.Minute)
 		for k := range copies {
 			all.Go(func() {
-				load.remember(load.Send(callers[(i+k)%len(callers)], load.single(ServiceName(0), fmt.Sprint("c", i), notAfter)))
+				load.record(load.Send(callers[(i+k)%len(callers)], load.onceRequest(ServiceName(0), fmt.Sprint("c", i), notAfter)))
 			})
 		}
 	}
@@ -75,8 +75,8 @@
 }
 
 func reportClaims(b *testing.B, site *Site, load *Load, wanted float64) {
-	told := load.Told()
-	if broken := site.Judge(told).Broken(); len(broken) > 0 {
+	told := load.Replies()
+	if broken := site.Evaluate(told).Violations(); len(broken) > 0 {
 		b.Fatal(broken[0])
 	}
 	whole := make(map[string]bool)
@@ -84,7 +84,7 @@
 	for _, t := range told {
 		if t.Outcome == serve.OutcomeWhole {
 			whole[t.Mark] = true
-			times = append(times, t.Took)
+			times = append(times, t.Latency)
 		}
 	}
 	slices.Sort(times)
--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -31,14 +31,14 @@
 	fault fleetFault
 	mu    sync.Mutex
 	armed bool
-	hit   bool
+	injected   bool
 	work  sync.WaitGroup
 }
 
 // fleetFault is thrown once; it returns whether the call fails.
 type fleetFault struct {
 	name  string
-	throw func(c *fleetCell, call standin.Call) bool
+	inject func(c *fleetCell, call standin.Call) bool
 }
 
 // fleetSteps are the records and calls by which the fleet changes; each is a step of the matrix.
@@ -49,8 +49,8 @@
 	}
 }
 
-// isStep says whether the call is the step, or one of its records is.
-func isStep(call standin.Call, step string) bool {
+// matchesStep says whether the call is the step, or one of its records is.
+func matchesStep(call standin.Call, step string) bool {
 	if call.Kind != "append" {
 		return call.Kind == step
 	}
@@ -58,14 +58,14 @@
 		return false
 	}
 	for _, data := range call.Records {
-		if r, err := fleet.DecodeRecord(data); err == nil && stepOfRecord(r) == step {
+		if r, err := fleet.DecodeRecord(data); err == nil && recordStep(r) == step {
 			return true
 		}
 	}
 	return false
 }
 
-func stepOfRecord(r fleet.Record) string {
+func recordStep(r fleet.Record) string {
 	switch {
 	case r.Configure != nil:
 		return "configure"
@@ -126,11 +126,11 @@
 			}
 			return false
 		}},
-		{"writer-crashes", func(c *fleetCell, call standin.Call) bool { c.replace(writerOf(call)); return false }},
+		{"writer-crashes", func(c *fleetCell, call standin.Call) bool { c.restart(writerOf(call)); return false }},
 		{"all-replaced", func(c *fleetCell, _ standin.Call) bool {
 			for dc := range c.site.Spec.DataCentres {
 				for i := range c.site.Spec.EntriesEach {
-					c.replace(EntryName(dc, i))
+					c.restart(EntryName(dc, i))
 				}
 			}
 			return false
@@ -155,12 +155,12 @@
 			}
 			return false
 		}},
-		{"operators-race", func(c *fleetCell, _ standin.Call) bool { c.work.Go(c.race); return false }},
+		{"operators-race", func(c *fleetCell, _ standin.Call) bool { c.work.Go(c.raceOperator); return false }},
 	}
 }
 
-// replace crashes the entry and starts another life of it a little later.
-func (c *fleetCell) replace(name string) {
+// restart crashes the entry and starts another life of it a little later.
+func (c *fleetCell) restart(name string) {
 	centre := c.site.centreOf(name)
 	c.site.CrashEntry(name)
 	c.work.Go(func() {
@@ -169,8 +169,8 @@
 	})
 }
 
-// race publishes, plans, confirms, pauses and resumes beside the scenario's own operator.
-func (c *fleetCell) race() {
+// raceOperator publishes, plans, confirms, pauses and resumes beside the scenario's own operator.
+func (c *fleetCell) raceOperator() {
 	ctx, cancel := context.WithTimeout(context.Background(), outage)
 	defer cancel()
 	op := c.site.Operator(OperatorToken)
@@ -190,10 +190,10 @@
 
 func (c *fleetCell) probe(call standin.Call, after bool) bool {
 	c.mu.Lock()
-	hit := c.armed && !c.hit && after == c.after && isStep(call, c.step)
-	c.hit = c.hit || hit
+	hit := c.armed && !c.injected && after == c.after && matchesStep(call, c.step)
+	c.injected = c.injected || hit
 	c.mu.Unlock()
-	return hit && c.fault.throw(c, call)
+	return hit && c.fault.inject(c, call)
 }
 
 // scenario is what an operator and a caller do; every call is repeated until its outcome is known.
@@ -201,43 +201,43 @@
 	if err := c.site.Publish(ctx); err != nil {
 		return false, err
 	}
-	c.greedy(ctx)
+	c.runOverusingJob(ctx)
 	for i := range 3 {
 		spec := fleet.JobSpec{ID: fmt.Sprintf("job-%d", i), Pool: BatchPool, Cores: 2, MemoryMB: 10, RunTime: fleet.Duration(8 * time.Second),
 			Repeatable: i == 1, Command: "run 8s"}
-		c.until(ctx, func() error { return c.job(ctx, "POST", "", spec) })
+		c.retry(ctx, func() error { return c.job(ctx, "POST", "", spec) })
 	}
 	time.Sleep(2 * time.Second) // both workers are full then
 	urgent := fleet.JobSpec{ID: "urgent", Pool: BatchPool, Cores: 4, RunTime: fleet.Duration(2 * time.Second), Urgent: true, Command: "run 2s"}
-	c.until(ctx, func() error { return c.job(ctx, "POST", "", urgent) })
+	c.retry(ctx, func() error { return c.job(ctx, "POST", "", urgent) })
 	time.Sleep(3 * time.Second)
-	c.until(ctx, func() error { return c.job(ctx, "DELETE", "/job-2", fleet.JobSpec{}) })
+	c.retry(ctx, func() error { return c.job(ctx, "DELETE", "/job-2", fleet.JobSpec{}) })
 	conf := c.site.Spec.Configuration()
 	conf.Pools = append(conf.Pools, fleet.Pool{Name: "spare"})
-	applied = c.until(ctx, func() error {
+	applied = c.retry(ctx, func() error {
 		_, err := c.site.Operator(OperatorToken).Apply(ctx, admin.Apply{ID: "second", Base: 1, Configuration: conf})
 		return err
 	})
-	if err := c.carryOut(ctx, fleet.Intent{Kind: fleet.IntentMaintain}); err != nil {
+	if err := c.runPlan(ctx, fleet.Intent{Kind: fleet.IntentMaintain}); err != nil {
 		return applied, err
 	}
 	if !applied {
 		return applied, nil // another operator won, so the spare pool is not there
 	}
-	return applied, c.carryOut(ctx, fleet.Intent{Kind: fleet.IntentMove, Pool: "spare", Instances: []string{RunnerName(0, 3)}})
+	return applied, c.runPlan(ctx, fleet.Intent{Kind: fleet.IntentMove, Pool: "spare", Instances: []string{RunnerName(0, 3)}})
 }
 
-// greedy runs two jobs on one worker, of which the first uses more than it declares.
-func (c *fleetCell) greedy(ctx context.Context) {
+// runOverusingJob runs two jobs on one worker, of which the first uses more than it declares.
+func (c *fleetCell) runOverusingJob(ctx context.Context) {
 	for _, command := range [...]string{"run 6s use 3", "run 6s"} {
 		spec := fleet.JobSpec{ID: "greedy-" + fmt.Sprint(len(command)), Pool: BatchPool, Cores: 2, MemoryMB: 10, RunTime: fleet.Duration(6 * time.Second), Repeatable: true, Command: command}
-		c.until(ctx, func() error { return c.job(ctx, "POST", "", spec) })
+		c.retry(ctx, func() error { return c.job(ctx, "POST", "", spec) })
 	}
 	time.Sleep(7 * time.Second)
 }
 
-// until repeats the call while its outcome is unknown or nobody answers; it says whether it was accepted.
-func (c *fleetCell) until(ctx context.Context, call func() error) bool {
+// retry repeats the call while its outcome is unknown or nobody answers; it says whether it was accepted.
+func (c *fleetCell) retry(ctx context.Context, call func() error) bool {
 	for {
 		err := call()
 		var p *serve.Problem
@@ -253,8 +253,8 @@
 	return t.callJob(ctx, method, path, spec)
 }
 
-// carryOut plans and confirms until a plan runs, and waits for its end.
-func (c *fleetCell) carryOut(ctx context.Context, intent fleet.Intent) error {
+// runPlan plans and confirms until a plan runs, and waits for its end.
+func (c *fleetCell) runPlan(ctx context.Context, intent fleet.Intent) error {
 	for ctx.Err() == nil {
 		op := c.site.Operator(OperatorToken)
 		p, err := op.Plan(ctx, intent)
@@ -275,10 +275,10 @@
 
 func runFleetCell(step string, after bool, fault fleetFault) (result string, wrong []string) {
 	c := &fleetCell{step: step, after: after, fault: fault, armed: true}
-	spec := smallest()
+	spec := smallSpec()
 	spec.Network = new(memnet.Network)
 	spec.CheckpointEvery = 6 * time.Second
-	site, err := startWith(spec, c.probe)
+	site, err := startWithProbe(spec, c.probe)
 	if err != nil {
 		return "", []string{err.Error()}
 	}
@@ -300,15 +300,15 @@
 	if err != nil {
 		wrong = append(wrong, fmt.Sprintf("the scenario did not end: %v", err))
 	}
-	wrong = append(wrong, c.wrong(ctx, applied, load.Told())...)
+	wrong = append(wrong, c.violations(ctx, applied, load.Replies())...)
 	h := site.Replay()
-	return fmt.Sprintf("%s, %d requests, moves %d, jobs %v", took.Round(time.Second), len(load.Told()), h.Moves, h.Jobs), wrong
+	return fmt.Sprintf("%s, %d requests, moves %d, jobs %v", took.Round(time.Second), len(load.Replies()), h.Moves, h.Jobs), wrong
 }
 
-// wrong lists the promises that the run shows broken.
-func (c *fleetCell) wrong(ctx context.Context, applied bool, told []Told) []string {
+// violations lists the promises that the run shows broken.
+func (c *fleetCell) violations(ctx context.Context, applied bool, told []Reply) []string {
 	var wrong []string
-	for _, b := range c.site.Judge(told).Broken() {
+	for _, b := range c.site.Evaluate(told).Violations() {
 		crashed := strings.Contains(c.fault.name, "crash") || c.fault.name == "all-replaced"
 		if crashed && strings.Contains(b, "without an answer") {
 			continue // an entry that crashed can't answer
@@ -316,33 +316,33 @@
 		wrong = append(wrong, b)
 	}
 	h := c.site.Replay()
-	for budget, m := range h.Margin {
+	for budget, m := range h.MinMargin {
 		if m < 0 {
 			wrong = append(wrong, fmt.Sprintf("a take-out broke the budget of %s", budget))
 		}
 	}
-	for _, id := range h.Doubled {
+	for _, id := range h.RanTwice {
 		wrong = append(wrong, "job "+id+" ran twice")
 	}
 	wrong = append(wrong, c.site.Platform.Cuts()...)
-	if !c.hit {
+	if !c.injected {
 		wrong = append(wrong, "the step was never reached")
 	}
-	return append(wrong, c.end(ctx, applied)...)
+	return append(wrong, c.finalViolations(ctx, applied)...)
 }
 
-// end looks at every entry's own state after everything has healed.
-func (c *fleetCell) end(ctx context.Context, applied bool) (wrong []string) {
-	if !c.agree(ctx) {
+// finalViolations looks at every entry's own state after everything has healed.
+func (c *fleetCell) finalViolations(ctx context.Context, applied bool) (wrong []string) {
+	if !c.converged(ctx) {
 		wrong = append(wrong, "entries differ")
 	}
-	for _, name := range c.entries() {
-		wrong = append(wrong, c.endOf(ctx, name, applied)...)
+	for _, name := range c.entryNames() {
+		wrong = append(wrong, c.entryViolations(ctx, name, applied)...)
 	}
 	return wrong
 }
 
-func (c *fleetCell) entries() (names []string) {
+func (c *fleetCell) entryNames() (names []string) {
 	for dc := range c.site.Spec.DataCentres {
 		for i := range c.site.Spec.EntriesEach {
 			names = append(names, EntryName(dc, i))
@@ -351,11 +351,11 @@
 	return names
 }
 
-// agree says whether all entries come to the same offset, version and members; a record may be on its way at any one look.
-func (c *fleetCell) agree(ctx context.Context) bool {
+// converged says whether all entries come to the same offset, version and members; a record may be on its way at any one look.
+func (c *fleetCell) converged(ctx context.Context) bool {
 	for range 20 {
 		seen := make(map[string]bool)
-		for _, name := range c.entries() {
+		for _, name := range c.entryNames() {
 			st, err := c.site.OperatorOf(name, OperatorToken).Status(ctx)
 			seen[fmt.Sprint(err, st.Offset, st.Version, len(st.Entries))] = true
 		}
@@ -367,7 +367,7 @@
 	return false
 }
 
-func (c *fleetCell) endOf(ctx context.Context, name string, applied bool) (wrong []string) {
+func (c *fleetCell) entryViolations(ctx context.Context, name string, applied bool) (wrong []string) {
 	op := c.site.OperatorOf(name, OperatorToken)
 	st, err := op.Status(ctx)
 	if err != nil {
@@ -400,7 +400,7 @@
 	for _, step := range fleetSteps() {
 		for _, after := range [...]bool{false, true} {
 			for _, fault := range fleetFaults() {
-				name := fmt.Sprintf("%s %s, %s", when(after), step, fault.name)
+				name := fmt.Sprintf("%s %s, %s", phase(after), step, fault.name)
 				cells = append(cells, matrixCell{name, func() (string, []string) { return runFleetCell(step, after, fault) }})
 			}
 		}
--- a/internal/trial/leader_test.go
+++ b/internal/trial/leader_test.go
@@ -20,9 +20,9 @@
 	for _, urgent := range [...]bool{false, true} {
 		inBubble(t, func(t *testing.T) {
 			c := quicktest.New(t)
-			spec := smallest()
+			spec := smallSpec()
 			spec.DataCentres, spec.EntriesEach = 4, 1
-			s := fakeSite(c, spec)
+			s := startFakeTimeSite(c, spec)
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 			defer cancel()
 			var entries []string
@@ -33,7 +33,7 @@
 			run := trialRun{site: s}
 			c.Assert(run.submit(ctx, fleet.JobSpec{ID: "job", Pool: BatchPool, Cores: 2, Urgent: urgent, Command: "run 10s"}), quicktest.IsNil)
 			begin := time.Now()
-			c.Assert(s.Await(ctx, func() bool { return jobsOf(ctx, c, s)["job"].State == fleet.JobRunning }), quicktest.IsNil)
+			c.Assert(s.Await(ctx, func() bool { return jobsByID(ctx, c, s)["job"].State == fleet.JobRunning }), quicktest.IsNil)
 			took := time.Since(begin)
 			t.Logf("urgent %t: it ran after %s of the fake clock", urgent, took)
 			c.Assert(took <= 3500*time.Millisecond, quicktest.IsTrue)
@@ -45,20 +45,20 @@
 func TestJobsOutliveTheEntriesOfTheirDataCentre(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		spec := smallest()
-		s := fakeSite(c, spec)
+		spec := smallSpec()
+		s := startFakeTimeSite(c, spec)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
 		job := fleet.JobSpec{ID: "job", Pool: BatchPool, DataCentres: []string{Centre(0)}, Cores: 2, Command: "run 200s"}
 		c.Assert(run.submit(ctx, job), quicktest.IsNil)
-		c.Assert(s.Await(ctx, func() bool { return jobsOf(ctx, c, s)["job"].State == fleet.JobRunning }), quicktest.IsNil)
+		c.Assert(s.Await(ctx, func() bool { return jobsByID(ctx, c, s)["job"].State == fleet.JobRunning }), quicktest.IsNil)
 		time.Sleep(100 * time.Second) // so that calls wait for long
 		for i := range spec.EntriesEach {
 			s.CrashEntry(EntryName(0, i))
 		}
-		c.Assert(s.Await(ctx, func() bool { return jobsOf(ctx, c, s)["job"].State.Ended() }), quicktest.IsNil)
-		c.Assert(jobsOf(ctx, c, s)["job"].State, quicktest.Equals, fleet.JobDone)
+		c.Assert(s.Await(ctx, func() bool { return jobsByID(ctx, c, s)["job"].State.Ended() }), quicktest.IsNil)
+		c.Assert(jobsByID(ctx, c, s)["job"].State, quicktest.Equals, fleet.JobDone)
 		c.Assert(s.Platform.Starts()["job"], quicktest.Equals, 1)
 	})
 }
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -17,18 +17,18 @@
 	"rackstep.dev/serve"
 )
 
-// Told is what a caller was told of one request.
-type Told struct {
+// Reply is what a caller was told of one request.
+type Reply struct {
 	Mark       string
 	Repeatable bool
 	Outcome    serve.Outcome
 	Reason     serve.Reason
 	Status     int
-	// Wrong says that the answer belongs to another request.
-	Wrong bool
-	// Lost says that the connection ended without an answer.
-	Lost bool
-	Took time.Duration
+	// Mismatched says that the answer belongs to another request.
+	Mismatched bool
+	// NoAnswer says that the connection ended without an answer.
+	NoAnswer bool
+	Latency time.Duration
 }
 
 // Load sends requests to a site and remembers what became of each.
@@ -42,8 +42,8 @@
 	Pause time.Duration
 
 	mu   sync.Mutex
-	told []Told
-	next atomic.Int64
+	replies []Reply
+	lastMark atomic.Int64
 }
 
 // Run sends requests until the context ends; those under way end first.
@@ -53,24 +53,24 @@
 		random := rand.New(rand.NewPCG(1, uint64(i)))
 		work.Go(func() {
 			for ctx.Err() == nil {
-				l.one(random)
-				pause(ctx, l.Pause)
+				l.sendNext(random)
+				sleep(ctx, l.Pause)
 			}
 		})
 	}
 	work.Wait()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// one sends one request; every tenth must not be repeated, and half of those are sent twice at once.
-func (l *Load) one(random *rand.Rand) {
-	mark := fmt.Sprintf("m%d", l.next.Add(1))
+// sendNext sends one request; every tenth must not be repeated, and half of those are sent twice at once.
+func (l *Load) sendNext(random *rand.Rand) {
+	mark := fmt.Sprintf("m%d", l.lastMark.Add(1))
 	service := ServiceName(random.IntN(l.Site.Spec.Services))
 	callers := l.Site.Callers()
 	if len(callers) == 0 {
@@ -79,7 +79,7 @@
 	}
 	entry := func() string { return callers[random.IntN(len(callers))] }
 	if random.IntN(10) > 0 {
-		l.remember(l.Send(entry(), l.request(service, mark, random.IntN(20) == 0)))
+		l.record(l.Send(entry(), l.repeatableRequest(service, mark, random.IntN(20) == 0)))
 		return
 	}
 	notAfter := time.Now().Add(30 * time.Second)
@@ -91,7 +91,7 @@
 		if i > 0 {
 			to = second
 		}
-		work.Go(func() { l.remember(l.Send(to, l.single(service, mark, notAfter))) })
+		work.Go(func() { l.record(l.Send(to, l.onceRequest(service, mark, notAfter))) })
 	}
 	work.Wait()
 }
@@ -105,7 +105,7 @@
 	Size          int
 }
 
-func (l *Load) request(service, mark string, urgent bool) Request {
+func (l *Load) repeatableRequest(service, mark string, urgent bool) Request {
 	r := Request{Service: service, Mark: mark, Repeatable: true, Header: http.Header{}, Work: l.Work}
 	if urgent {
 		r.Header.Set(serve.HeaderPriority, "urgent")
@@ -113,7 +113,7 @@
 	return r
 }
 
-func (l *Load) single(service, mark string, notAfter time.Time) Request {
+func (l *Load) onceRequest(service, mark string, notAfter time.Time) Request {
 	r := Request{Service: service, Mark: mark, Header: http.Header{}, Work: l.Work}
 	r.Header.Set(serve.HeaderKey, mark)
 	r.Header.Set(serve.HeaderNotAfter, notAfter.UTC().Format(time.RFC3339Nano))
@@ -121,10 +121,10 @@
 }
 
 // Send sends one request to the entry and returns what the caller was told.
-func (l *Load) Send(entry string, r Request) (t Told) {
-	t = Told{Mark: r.Mark, Repeatable: r.Repeatable}
+func (l *Load) Send(entry string, r Request) (t Reply) {
+	t = Reply{Mark: r.Mark, Repeatable: r.Repeatable}
 	start := time.Now()
-	defer func() { t.Took = time.Since(start) }()
+	defer func() { t.Latency = time.Since(start) }()
 	method := http.MethodGet
 	if !r.Repeatable {
 		method = http.MethodPost
@@ -132,7 +132,7 @@
 	path := fmt.Sprintf("/v1/services/%s/%s?mark=%s&ms=%g&size=%d", r.Service, r.Mark, r.Mark, float64(r.Work)/float64(time.Millisecond), r.Size)
 	req, err := http.NewRequest(method, "http://"+entry+path, http.NoBody)
 	if err != nil {
-		t.Lost = true
+		t.NoAnswer = true
 		return t
 	}
 	for name, v := range r.Header {
@@ -143,20 +143,20 @@
 	}
 	resp, err := l.Site.http.Transport.RoundTrip(req)
 	if err != nil {
-		t.Lost = true
+		t.NoAnswer = true
 		return t
 	}
 	defer resp.Body.Close()
-	l.read(resp, r, &t)
+	l.readReply(resp, r, &t)
 	return t
 }
 
-func (l *Load) read(resp *http.Response, r Request, t *Told) {
+func (l *Load) readReply(resp *http.Response, r Request, t *Reply) {
 	t.Status = resp.StatusCode
 	t.Outcome = serve.Outcome(resp.Header.Get(serve.HeaderOutcome))
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Lost = true
+		t.NoAnswer = true
 		return
 	}
 	var answer struct {
@@ -167,19 +167,19 @@
 	err = json.Unmarshal(body, &answer)
 	t.Reason = answer.Reason
 	if t.Outcome == serve.OutcomeWhole && resp.StatusCode == http.StatusOK {
-		t.Wrong = err != nil || answer.Mark != r.Mark || strings.TrimPrefix(answer.Path, "/") != r.Mark
+		t.Mismatched = err != nil || answer.Mark != r.Mark || strings.TrimPrefix(answer.Path, "/") != r.Mark
 	}
 }
 
-func (l *Load) remember(t Told) {
+func (l *Load) record(t Reply) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = append(l.told, t)
+	l.replies = append(l.replies, t)
 }
 
-// Told returns what callers were told so far.
-func (l *Load) Told() []Told {
+// Reply returns what callers were told so far.
+func (l *Load) Replies() []Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Told(nil), l.told...)
+	return append([]Reply(nil), l.replies...)
 }
--- a/internal/trial/matrix_test.go
+++ b/internal/trial/matrix_test.go
@@ -21,15 +21,15 @@
 	run  func() (result string, wrong []string)
 }
 
-// cellsAtOnce bounds the sites that run beside each other.
-const cellsAtOnce = 24
+// maxConcurrentCells bounds the sites that run beside each other.
+const maxConcurrentCells = 24
 
 // runMatrix runs the cells on one fake clock, prints the table of their results, and fails for each that was wrong.
 func runMatrix(t *testing.T, cells []matrixCell) {
 	results, wrongs := make([]string, len(cells)), make([][]string, len(cells))
 	inBubble(t, func(*testing.T) {
 		var work sync.WaitGroup
-		places := make(chan struct{}, cellsAtOnce)
+		places := make(chan struct{}, maxConcurrentCells)
 		for i := range cells {
 			places <- struct{}{}
 			work.Go(func() {
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -26,9 +26,9 @@
 	platformWorkers = 4
 	platformJobs    = 12
 	platformHost    = "catalogue.example"
-	platformBegin   = 20 * time.Second
-	platformEnd     = 40 * time.Second
-	platformLook    = 100 * time.Millisecond
+	platformSubmitTimeout   = 20 * time.Second
+	platformFinishTimeout     = 40 * time.Second
+	platformPollInterval    = 100 * time.Millisecond
 )
 
 // platformNode is an entry of the trial, which can be cut off from everything.
@@ -37,7 +37,7 @@
 	ip    string
 
 	mu    sync.Mutex
-	cut   bool
+	isolated   bool
 	conns []net.Conn
 }
 
@@ -46,7 +46,7 @@
 	return func(ctx context.Context, kind, address string) (net.Conn, error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if n.cut {
+		if n.isolated {
 			return nil, fmt.Errorf("%s is cut off", n.ip)
 		}
 		c, err := network.Dial(ctx, kind, address)
@@ -57,11 +57,11 @@
 	}
 }
 
-// cutOff ends all that the entry has open, and lets it open nothing more.
-func (n *platformNode) cutOff() {
+// isolate ends all that the entry has open, and lets it open nothing more.
+func (n *platformNode) isolate() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = true
+	n.isolated = true
 	for _, c := range n.conns {
 		_ = c.Close() // it may have ended by itself
 	}
@@ -92,13 +92,13 @@
 		nodes = append(nodes, startNode(ctx, network, i))
 	}
 	client := &http.Client{Transport: &http.Transport{DialContext: network.Dial, DisableKeepAlives: true}}
-	if err := handIn(ctx, client, nodes, out); err != nil {
+	if err := submitJobs(ctx, client, nodes, out); err != nil {
 		return err
 	}
-	lost := leaderOf(nodes)
-	nodes[lost].cutOff()
+	lost := leaderIndex(nodes)
+	nodes[lost].isolate()
 	fmt.Fprintf(out, "%s led and is cut off from everything\n", nodes[lost].entry.Settings.Entry)
-	if err := awaitAll(ctx, client, nodes[(lost+1)%platformEntries], out); err != nil {
+	if err := awaitJobs(ctx, client, nodes[(lost+1)%platformEntries], out); err != nil {
 		return err
 	}
 	if wrong := p.Check(); len(wrong) > 0 {
@@ -120,8 +120,8 @@
 	return n
 }
 
-// leaderOf returns the index of the entry that leads, by what the first one has read.
-func leaderOf(nodes []*platformNode) int {
+// leaderIndex returns the index of the entry that leads, by what the first one has read.
+func leaderIndex(nodes []*platformNode) int {
 	for i, n := range nodes {
 		if n.entry.Leads() {
 			return i
@@ -148,10 +148,10 @@
 	return resp.StatusCode, string(b)
 }
 
-// handIn hands in the jobs, over all entries, as soon as they are taken.
-func handIn(ctx context.Context, client *http.Client, nodes []*platformNode, out io.Writer) error {
+// submitJobs hands in the jobs, over all entries, as soon as they are taken.
+func submitJobs(ctx context.Context, client *http.Client, nodes []*platformNode, out io.Writer) error {
 	const body = `{"Spec":"part 4711","Steps":[{"Count":3,"Cpu":900,"MemMb":500,"EstimateMs":1000},{"Count":1,"Cpu":900,"MemMb":500,"DependsOn":[0]}]}`
-	end := time.Now().Add(platformBegin)
+	end := time.Now().Add(platformSubmitTimeout)
 	for job := 0; job < platformJobs; {
 		status, text := callJob(ctx, client, nodes[job%platformEntries], http.MethodPost, job, body)
 		if status == http.StatusOK {
@@ -161,14 +161,14 @@
 		if time.Now().After(end) {
 			return fmt.Errorf("job %d is not taken: %d %s", job, status, text)
 		}
-		time.Sleep(platformLook)
+		time.Sleep(platformPollInterval)
 	}
 	fmt.Fprintf(out, "%d jobs of two steps handed in over %d entries\n", platformJobs, platformEntries)
 	return nil
 }
 
-func awaitAll(ctx context.Context, client *http.Client, n *platformNode, out io.Writer) error {
-	end := time.Now().Add(platformEnd)
+func awaitJobs(ctx context.Context, client *http.Client, n *platformNode, out io.Writer) error {
+	end := time.Now().Add(platformFinishTimeout)
 	for job := 0; job < platformJobs; {
 		status, text := callJob(ctx, client, n, http.MethodGet, job, "")
 		if strings.Contains(text, `"succeeded"`) {
@@ -178,7 +178,7 @@
 		if time.Now().After(end) {
 			return fmt.Errorf("job %d: %d %s", job, status, text)
 		}
-		time.Sleep(platformLook)
+		time.Sleep(platformPollInterval)
 	}
 	fmt.Fprintf(out, "%s answers for all of them\n", n.entry.Settings.Entry)
 	return nil
--- a/internal/trial/race_test.go
+++ b/internal/trial/race_test.go
@@ -37,7 +37,7 @@
 	s.CrashEntry(EntryName(0, 1))
 	stop()
 	<-done
-	v := s.Judge(load.Told())
-	c.Assert(v.Doubled+v.Wrong+v.Lied+v.Late, quicktest.Equals, 0, quicktest.Commentf("%+v", v))
+	v := s.Evaluate(load.Replies())
+	c.Assert(v.RanTwice+v.Mismatched+v.RanAfterNotRun+v.DuringMaintenance, quicktest.Equals, 0, quicktest.Commentf("%+v", v))
 	c.Assert(s.Platform.Cuts(), quicktest.HasLen, 0)
 }
--- a/internal/trial/regions_test.go
+++ b/internal/trial/regions_test.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// regionsCut is how long the regions lose each other, regionsHealed the letter's bound for a configuration everywhere.
-	regionsCut    = 4 * time.Minute
-	regionsHealed = 12 * time.Second
+	// regionsCutTime is how long the regions lose each other, regionsHealed the letter's bound for a configuration everywhere.
+	regionsCutTime    = 4 * time.Minute
+	maxConvergenceTime = 12 * time.Second
 )
 
 // cutRegions cuts the second region off from the first one and from the platform, or joins it again.
 func (s *Site) cutRegions(cut bool) {
 	half := s.Spec.DataCentres / 2
 	for b := half; b < s.Spec.DataCentres; b++ {
-		s.SetCut(Centre(b), PlatformPlace, cut)
+		s.SetCut(Centre(b), PlatformEndpoint, cut)
 		for a := range half {
 			s.SetCut(Centre(a), Centre(b), cut)
 		}
@@ -38,9 +38,9 @@
 func TestRegionsThatLoseEachOtherServeOnAndAgreeSoonAfter(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		spec := smallest()
+		spec := smallSpec()
 		spec.DataCentres, spec.EntriesEach, spec.RunnersEach = 4, 1, 8
-		s := fakeSite(c, spec)
+		s := startFakeTimeSite(c, spec)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
 		load := &Load{Site: s, Callers: 4, Work: 20 * time.Millisecond, Pause: 100 * time.Millisecond}
@@ -58,17 +58,17 @@
 		whole := 0
 		const tries = 100
 		for i := range tries {
-			told := load.Send(s.CallerOf(EntryName(2+i%2, 0)), load.request(ServiceName(0), fmt.Sprint("cut", i), false))
-			load.remember(told)
+			told := load.Send(s.CallerOf(EntryName(2+i%2, 0)), load.repeatableRequest(ServiceName(0), fmt.Sprint("cut", i), false))
+			load.record(told)
 			if told.Outcome == serve.OutcomeWhole {
 				whole++
 			}
 		}
 		c.Assert(whole, quicktest.Equals, tries)
-		single := load.Send(s.CallerOf(EntryName(2, 0)), load.single(ServiceName(0), "single", time.Now().Add(30*time.Second)))
-		load.remember(single)
+		single := load.Send(s.CallerOf(EntryName(2, 0)), load.onceRequest(ServiceName(0), "single", time.Now().Add(30*time.Second)))
+		load.record(single)
 		c.Assert(single.Outcome, quicktest.Equals, serve.OutcomeNotRun) // it can't be claimed there
-		time.Sleep(regionsCut - time.Minute)
+		time.Sleep(regionsCutTime - time.Minute)
 		behind, err := s.OperatorOf(EntryName(3, 0), OperatorToken).Status(ctx)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(behind.Version, quicktest.Equals, uint64(1))
@@ -82,9 +82,9 @@
 		}
 		took := time.Since(healed)
 		t.Logf("the configuration was in force everywhere %s after the regions met again", took.Round(time.Millisecond))
-		c.Assert(took <= regionsHealed, quicktest.IsTrue)
+		c.Assert(took <= maxConvergenceTime, quicktest.IsTrue)
 		stop()
 		<-done
-		c.Assert(s.Judge(load.Told()).Broken(), quicktest.HasLen, 0)
+		c.Assert(s.Evaluate(load.Replies()).Violations(), quicktest.HasLen, 0)
 	})
 }
--- a/internal/trial/verdict.go
+++ b/internal/trial/report.go
@@ -12,33 +12,33 @@
 	"rackstep.dev/serve"
 )
 
-// Verdict is what became of the requests of a trial, and which promises were broken.
-type Verdict struct {
+// RequestReport is what became of the requests of a trial, and which promises were broken.
+type RequestReport struct {
 	Requests, Whole, NotRun, Unknown int
-	// Lost are requests without an answer, Wrong those with another one's answer.
-	Lost, Wrong int
-	// Doubled are requests not to be repeated that ran twice, Lied those that ran after "not run".
-	Doubled, Lied int
+	// NoAnswer are requests without an answer, Wrong those with another one's answer.
+	NoAnswer, Mismatched int
+	// RanTwice are requests not to be repeated that ran twice, Lied those that ran after "not run".
+	RanTwice, RanAfterNotRun int
 	// Reasons counts the problems by their reason.
 	Reasons map[serve.Reason]int
 	// OverSlots are targets that were sent more than their slots, OverConnections more than their connections.
 	OverSlots, OverConnections int
-	// Late are requests that reached an instance during its maintenance.
-	Late int
+	// DuringMaintenance are requests that reached an instance during its maintenance.
+	DuringMaintenance int
 	// P50 and P99 are times of whole answers.
 	P50, P99 time.Duration
 }
 
-// Judge compares what callers were told with what the targets saw.
-func (s *Site) Judge(told []Told) Verdict {
-	v := Verdict{Reasons: make(map[serve.Reason]int)}
+// Evaluate compares what callers were told with what the targets saw.
+func (s *Site) Evaluate(told []Reply) RequestReport {
+	v := RequestReport{Reasons: make(map[serve.Reason]int)}
 	ran := make(map[string]int)
 	for _, t := range s.Targets {
 		c := t.Counts()
 		for mark, n := range c.Ran {
 			ran[mark] += n
 		}
-		v.Late += c.Late
+		v.DuringMaintenance += c.Late
 		if c.Refused > 0 {
 			v.OverSlots++
 		}
@@ -50,7 +50,7 @@
 	notRun := make(map[string]bool)
 	others := make(map[string]bool)
 	for _, t := range told {
-		v.add(t)
+		v.count(t)
 		switch {
 		case t.Outcome == serve.OutcomeNotRun:
 			notRun[t.Mark] = true
@@ -58,29 +58,29 @@
 			others[t.Mark] = true
 		}
 		if t.Outcome == serve.OutcomeWhole {
-			times = append(times, t.Took)
+			times = append(times, t.Latency)
 		}
 		if !t.Repeatable && ran[t.Mark] > 1 {
-			v.Doubled++
+			v.RanTwice++
 		}
 	}
 	for mark := range notRun {
 		if ran[mark] > 0 && !others[mark] {
-			v.Lied++
+			v.RanAfterNotRun++
 		}
 	}
 	v.P50, v.P99 = quantile(times, 0.5), quantile(times, 0.99)
 	return v
 }
 
-func (v *Verdict) add(t Told) {
+func (v *RequestReport) count(t Reply) {
 	v.Requests++
 	switch {
-	case t.Lost:
-		v.Lost++
+	case t.NoAnswer:
+		v.NoAnswer++
 		return
-	case t.Wrong:
-		v.Wrong++
+	case t.Mismatched:
+		v.Mismatched++
 	}
 	switch t.Outcome {
 	case serve.OutcomeWhole:
@@ -102,17 +102,17 @@
 	return times[min(len(times)-1, int(q*float64(len(times))))]
 }
 
-// Broken lists the promises that the verdict shows broken.
-func (v Verdict) Broken() []string {
+// Violations lists the promises that the verdict shows broken.
+func (v RequestReport) Violations() []string {
 	var broken []string
 	for _, x := range [...]struct {
 		n    int
 		what string
 	}{
-		{v.Lost, "requests ended without an answer"}, {v.Wrong, "answers went to another request"},
-		{v.Doubled, "requests not to be repeated ran twice"}, {v.Lied, "requests ran although the caller was told 'not run'"},
+		{v.NoAnswer, "requests ended without an answer"}, {v.Mismatched, "answers went to another request"},
+		{v.RanTwice, "requests not to be repeated ran twice"}, {v.RanAfterNotRun, "requests ran although the caller was told 'not run'"},
 		{v.OverSlots, "targets were sent more than their slots"}, {v.OverConnections, "targets had more than their connections"},
-		{v.Late, "requests reached an instance during its maintenance"},
+		{v.DuringMaintenance, "requests reached an instance during its maintenance"},
 	} {
 		if x.n > 0 {
 			broken = append(broken, fmt.Sprintf("%d %s", x.n, x.what))
@@ -123,19 +123,19 @@
 
 // History is what the fleet log says of a trial.
 type History struct {
-	// Margin is the lowest margin that a take-out left to each budget that its instance counts for.
-	Margin map[string]int
-	// Buffer is the most instances that were out at once, Moves the jobs displaced.
-	Buffer, Moves int
-	// Doubled are jobs that were begun anew more than once and may not be.
-	Doubled []string
+	// MinMargin is the lowest margin that a take-out left to each budget that its instance counts for.
+	MinMargin map[string]int
+	// MaxOut is the most instances that were out at once, Moves the jobs displaced.
+	MaxOut, Moves int
+	// RanTwice are jobs that were begun anew more than once and may not be.
+	RanTwice []string
 	// Jobs are the jobs by their last state.
 	Jobs map[fleet.JobState]int
 }
 
 // Replay folds the fleet log again and looks at every state on the way.
 func (s *Site) Replay() History {
-	h := History{Margin: make(map[string]int), Jobs: make(map[fleet.JobState]int)}
+	h := History{MinMargin: make(map[string]int), Jobs: make(map[fleet.JobState]int)}
 	t := fleet.New()
 	for offset, data := range s.Platform.Records("fleet") {
 		r, err := fleet.DecodeRecord(data)
@@ -145,7 +145,7 @@
 		available := r.Advance != nil && r.Advance.To == fleet.StepDraining && t.Instances.Get(r.Advance.Instance).Available()
 		refused := t.Apply(int64(offset), r) != nil
 		if available && !refused {
-			h.look(t, t.Instances.Get(r.Advance.Instance))
+			h.recordTakeOut(t, t.Instances.Get(r.Advance.Instance))
 		}
 	}
 	starts := s.Platform.Starts()
@@ -153,29 +153,29 @@
 		h.Moves += j.Moves
 		h.Jobs[j.State]++
 		if starts[id] > 1 && !j.Spec.Repeatable {
-			h.Doubled = append(h.Doubled, id)
+			h.RanTwice = append(h.RanTwice, id)
 		}
 	}
 	return h
 }
 
-// look takes note of a state after an instance was taken out. Budgets that the instance does not count for are left alone:
+// recordTakeOut takes note of a state after an instance was taken out. Budgets that the instance does not count for are left alone:
 // instances that have died may have broken one before, and no take-out may wait for that elsewhere.
-func (h *History) look(t *fleet.Tables, taken *fleet.Instance) {
+func (h *History) recordTakeOut(t *fleet.Tables, taken *fleet.Instance) {
 	out := 0
 	for _, in := range t.Instances.All {
 		if in.State != fleet.InstanceServing {
 			out++
 		}
 	}
-	h.Buffer = max(h.Buffer, out)
+	h.MaxOut = max(h.MaxOut, out)
 	for _, b := range t.Configuration.Budgets() {
 		if !b.Covers(taken.Pool, taken.DataCentre) {
 			continue
 		}
 		m := t.Spare(b).In(taken.DataCentre)
-		if old, ok := h.Margin[b.Name]; !ok || m < old {
-			h.Margin[b.Name] = m
+		if old, ok := h.MinMargin[b.Name]; !ok || m < old {
+			h.MinMargin[b.Name] = m
 		}
 	}
 }
--- a/internal/trial/verdict_test.go
+++ b/internal/trial/report_test.go
@@ -23,9 +23,9 @@
 	died := put("worker-2", "batch", fleet.InstanceServing, true)
 	put("runner-1", "service", fleet.InstanceServing, false)
 	taken := put("runner-2", "service", fleet.InstanceDraining, false)
-	h := History{Margin: make(map[string]int)}
-	h.look(tables, taken)
-	c.Assert(h.Margin, quicktest.DeepEquals, map[string]int{"pool service": 0})
-	h.look(tables, died) // had it been taken out, its own budget would be broken
-	c.Assert(h.Margin["pool batch"], quicktest.Equals, -1)
+	h := History{MinMargin: make(map[string]int)}
+	h.recordTakeOut(tables, taken)
+	c.Assert(h.MinMargin, quicktest.DeepEquals, map[string]int{"pool service": 0})
+	h.recordTakeOut(tables, died) // had it been taken out, its own budget would be broken
+	c.Assert(h.MinMargin["pool batch"], quicktest.Equals, -1)
 }
--- a/internal/trial/request_bench_test.go
+++ b/internal/trial/request_bench_test.go
@@ -24,8 +24,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// published starts a site on loopback and publishes its configuration; the caller stops it.
-func published(ctx context.Context, b *testing.B, spec Spec) *Site {
+// startPublished starts a site on loopback and publishes its configuration; the caller stops it.
+func startPublished(ctx context.Context, b *testing.B, spec Spec) *Site {
 	site, err := Start(spec, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -67,7 +67,7 @@
 func BenchmarkRequest(b *testing.B) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	site := published(ctx, b, Spec{DataCentres: 1, EntriesEach: 2, Services: 1, RunnersEach: 4, Cores: 1, RackSize: 4})
+	site := startPublished(ctx, b, Spec{DataCentres: 1, EntriesEach: 2, Services: 1, RunnersEach: 4, Cores: 1, RackSize: 4})
 	defer site.Stop()
 	target, err := site.serve(nil, (&standin.Target{Instance: "x", Slots: 64}).Server())
 	if err != nil {
@@ -97,7 +97,7 @@
 		owner, other = other, owner
 	}
 	path := "/v1/services/" + ServiceName(0) + "/x"
-	ways := []*way{
+	ways := []*requestPath{
 		{name: "direct", url: "http://" + target + path},
 		{name: "bare-forwarder", url: "http://" + bare + path},
 		{name: "two-bare-forwarders", url: "http://" + twice + path},
@@ -110,42 +110,42 @@
 		}
 	}
 	for _, w := range ways {
-		b.ReportMetric(w.processor(), w.name+"-cpu-us")
+		b.ReportMetric(w.cpuPerRequest(), w.name+"-cpu-us")
 		b.ReportMetric(float64(w.median().Microseconds()), w.name+"-p50-us")
 	}
-	b.ReportMetric(ways[3].processor()/ways[1].processor(), "owner/forwarder")
-	b.ReportMetric(ways[4].processor()/ways[2].processor(), "relayed/two-forwarders")
+	b.ReportMetric(ways[3].cpuPerRequest()/ways[1].cpuPerRequest(), "owner/forwarder")
+	b.ReportMetric(ways[4].cpuPerRequest()/ways[2].cpuPerRequest(), "relayed/two-forwarders")
 	b.ReportMetric(0, "ns/op")
 }
 
-// way is one way to a target and what requests on it cost.
-type way struct {
+// requestPath is one way to a target and what requests on it cost.
+type requestPath struct {
 	name, url string
-	used      time.Duration
-	times     []time.Duration
+	cpuTime      time.Duration
+	latencies     []time.Duration
 }
 
-// roundRequests is the number of requests that a way sends in its turn.
-const roundRequests = 200
+// requestsPerRound is the number of requests that a way sends in its turn.
+const requestsPerRound = 200
 
-func (w *way) processor() float64 { return float64(w.used.Microseconds()) / float64(len(w.times)) }
+func (w *requestPath) cpuPerRequest() float64 { return float64(w.cpuTime.Microseconds()) / float64(len(w.latencies)) }
 
-func (w *way) median() time.Duration {
-	slices.Sort(w.times)
-	return w.times[len(w.times)/2]
+func (w *requestPath) median() time.Duration {
+	slices.Sort(w.latencies)
+	return w.latencies[len(w.latencies)/2]
 }
 
-func (w *way) measure(b *testing.B, client *http.Client) {
+func (w *requestPath) measure(b *testing.B, client *http.Client) {
 	begin := processorTime()
-	for range roundRequests {
+	for range requestsPerRound {
 		start := time.Now()
 		w.send(b, client)
-		w.times = append(w.times, time.Since(start))
+		w.latencies = append(w.latencies, time.Since(start))
 	}
-	w.used += processorTime() - begin
+	w.cpuTime += processorTime() - begin
 }
 
-func (w *way) send(b *testing.B, client *http.Client) {
+func (w *requestPath) send(b *testing.B, client *http.Client) {
 	req, err := http.NewRequest(http.MethodGet, w.url, nil)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -24,8 +24,8 @@
 // Fault is a named switch that a trial throws while the plan runs.
 type Fault struct {
 	Name, Meaning string
-	throw         func(s *Site)
-	mend          func(s *Site)
+	inject         func(s *Site)
+	clear          func(s *Site)
 }
 
 // Faults returns every fault that a trial can throw.
@@ -62,12 +62,12 @@
 
 // Result is what a trial found.
 type Result struct {
-	Verdict Verdict
+	Requests RequestReport
 	History History
 	// RollOut is the time from the confirmation to the end of the plan.
 	RollOut time.Duration
-	// Cuts are what the platform saw that must never happen.
-	Cuts   []string
+	// PlatformViolations are what the platform saw that must never happen.
+	PlatformViolations   []string
 	Broken []string
 }
 
@@ -92,69 +92,69 @@
 		return Result{}, err
 	}
 	defer site.Stop()
-	t := &trialRun{site: site, o: o, began: time.Now()}
-	t.say("started %d entries in %d data centres, %d targets, %d workers", o.Spec.DataCentres*o.Spec.EntriesEach, o.Spec.DataCentres, len(site.Targets), o.Spec.Workers)
+	t := &trialRun{site: site, options: o, began: time.Now()}
+	t.logf("started %d entries in %d data centres, %d targets, %d workers", o.Spec.DataCentres*o.Spec.EntriesEach, o.Spec.DataCentres, len(site.Targets), o.Spec.Workers)
 	if err := site.Publish(ctx); err != nil {
 		return Result{}, err
 	}
-	t.say("configuration version 1 is in force everywhere")
-	return t.underLoad(ctx)
+	t.logf("configuration version 1 is in force everywhere")
+	return t.runUnderLoad(ctx)
 }
 
 type trialRun struct {
 	site    *Site
-	o       Options
+	options       Options
 	began   time.Time
 	rollOut time.Duration
 }
 
-func (t *trialRun) say(format string, args ...any) {
-	fmt.Fprintf(t.o.Out, "%6.2fs  %s\n", time.Since(t.began).Seconds(), fmt.Sprintf(format, args...))
+func (t *trialRun) logf(format string, args ...any) {
+	fmt.Fprintf(t.options.Out, "%6.2fs  %s\n", time.Since(t.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-func (t *trialRun) underLoad(ctx context.Context) (Result, error) {
+func (t *trialRun) runUnderLoad(ctx context.Context) (Result, error) {
 	load := &Load{Site: t.site, Callers: 24, Work: 10 * time.Millisecond, Pause: 5 * time.Millisecond}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() { load.Run(loadCtx); close(done) }()
-	err := t.steps(ctx)
+	err := t.runScenario(ctx)
 	stopLoad()
 	<-done
 	if err != nil {
 		return Result{}, err
 	}
-	r := Result{Verdict: t.site.Judge(load.Told()), History: t.site.Replay(), RollOut: t.rollOut, Cuts: t.site.Platform.Cuts()}
-	r.Broken = r.broken()
-	t.report(r)
+	r := Result{Requests: t.site.Evaluate(load.Replies()), History: t.site.Replay(), RollOut: t.rollOut, PlatformViolations: t.site.Platform.Cuts()}
+	r.Broken = r.violations()
+	t.printReport(r)
 	return r, nil
 }
 
-func (t *trialRun) steps(ctx context.Context) error {
+func (t *trialRun) runScenario(ctx context.Context) error {
 	if err := t.submitJobs(ctx); err != nil {
 		return err
 	}
-	p, err := t.plan(ctx)
+	p, err := t.planAndConfirm(ctx)
 	if err != nil {
 		return err
 	}
-	if t.o.Fault.Name != "" {
-		t.say("fault %s: %s", t.o.Fault.Name, t.o.Fault.Meaning)
-		t.o.Fault.throw(t.site)
+	if t.options.Fault.Name != "" {
+		t.logf("fault %s: %s", t.options.Fault.Name, t.options.Fault.Meaning)
+		t.options.Fault.inject(t.site)
 		time.AfterFunc(faultTime, func() {
-			t.o.Fault.mend(t.site)
-			t.say("fault %s is over", t.o.Fault.Name)
+			t.options.Fault.clear(t.site)
+			t.logf("fault %s is over", t.options.Fault.Name)
 		})
 	}
 	t.replaceEntry()
-	return t.finish(ctx, p)
+	return t.awaitPlan(ctx, p)
 }
 
 // submitJobs gives the batch pool work that outlasts the plan's beginning.
 func (t *trialRun) submitJobs(ctx context.Context) error {
-	if t.o.Spec.Workers == 0 {
+	if t.options.Spec.Workers == 0 {
 		return nil
 	}
-	jobs := 2 * t.o.Spec.Workers
+	jobs := 2 * t.options.Spec.Workers
 	for i := range jobs {
 		spec := fleet.JobSpec{ID: fmt.Sprintf("job-%03d", i), Pool: BatchPool, Cores: 4, MemoryMB: 1024, RunTime: fleet.Duration(4 * time.Second),
 			Repeatable: i%2 == 0, Command: fmt.Sprintf("run %dms", 1000+100*(i%40))}
@@ -162,7 +162,7 @@
 			return err
 		}
 	}
-	t.say("submitted %d jobs, half of them not to be repeated", jobs)
+	t.logf("submitted %d jobs, half of them not to be repeated", jobs)
 	return nil
 }
 
@@ -196,41 +196,41 @@
 	return nil
 }
 
-// plan states the intent "empty the first rack of the first data centre" and confirms the plan.
-func (t *trialRun) plan(ctx context.Context) (fleet.Plan, error) {
+// planAndConfirm states the intent "empty the first rack of the first data centre" and confirms the plan.
+func (t *trialRun) planAndConfirm(ctx context.Context) (fleet.Plan, error) {
 	client := t.site.Operator(OperatorToken)
 	p, err := client.Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
 	if err != nil {
 		return p, fmt.Errorf("plan: %w", err)
 	}
-	t.say("intent %q: plan %s, %d steps in %d waves, at most %d instances out at once, %d left out", p.Intent.Kind, p.ID, len(p.Steps), p.Waves, p.Estimate.Buffer, len(p.Left))
+	t.logf("intent %q: plan %s, %d steps in %d waves, at most %d instances out at once, %d left out", p.Intent.Kind, p.ID, len(p.Steps), p.Waves, p.Estimate.Buffer, len(p.Left))
 	for _, l := range p.Left {
-		t.say("  left out: %s: %s", l.Instance, l.Reason)
+		t.logf("  left out: %s: %s", l.Instance, l.Reason)
 	}
 	if _, err := client.Order(ctx, p.ID, fleet.OrderConfirm); err != nil {
 		return p, fmt.Errorf("confirm: %w", err)
 	}
-	t.say("confirmed")
+	t.logf("confirmed")
 	t.rollOut = -time.Since(t.began)
 	return p, nil
 }
 
 // replaceEntry stops one entry as planned and starts another in its place.
 func (t *trialRun) replaceEntry() {
-	name := EntryName(t.o.Spec.DataCentres-1, t.o.Spec.EntriesEach-1)
-	centre := Centre(t.o.Spec.DataCentres - 1)
+	name := EntryName(t.options.Spec.DataCentres-1, t.options.Spec.EntriesEach-1)
+	centre := Centre(t.options.Spec.DataCentres - 1)
 	go func() {
 		t.site.StopEntry(name)
-		t.say("entry %s was stopped as planned", name)
+		t.logf("entry %s was stopped as planned", name)
 		if err := t.site.StartEntry(name+"2", centre); err != nil {
-			t.say("entry %s2 did not start: %v", name, err)
+			t.logf("entry %s2 did not start: %v", name, err)
 			return
 		}
-		t.say("entry %s2 was started in its place", name)
+		t.logf("entry %s2 was started in its place", name)
 	}()
 }
 
-func (t *trialRun) finish(ctx context.Context, p fleet.Plan) error {
+func (t *trialRun) awaitPlan(ctx context.Context, p fleet.Plan) error {
 	last := -1
 	err := t.site.Await(ctx, func() bool {
 		now, err := t.site.Operator(OperatorToken).GetPlan(ctx, p.ID)
@@ -245,54 +245,54 @@
 		}
 		if done*4/max(1, len(now.Steps)) != last {
 			last = done * 4 / max(1, len(now.Steps))
-			t.say("%d of %d steps done", done, len(now.Steps))
+			t.logf("%d of %d steps done", done, len(now.Steps))
 		}
 		return now.State == fleet.PlanDone
 	})
 	t.rollOut += time.Since(t.began)
 	if err != nil {
-		t.explain(ctx, p.ID)
+		t.printTimeline(ctx, p.ID)
 	}
 	return err
 }
 
-// explain prints why a plan does not go on.
-func (t *trialRun) explain(ctx context.Context, plan string) {
+// printTimeline prints why a plan does not go on.
+func (t *trialRun) printTimeline(ctx context.Context, plan string) {
 	line, err := t.site.Operator(OperatorToken).TimeLine(context.WithoutCancel(ctx), event.Subject{Plan: plan})
 	if err != nil {
-		t.say("time line: %v", err)
+		t.logf("time line: %v", err)
 		return
 	}
 	for _, e := range line.Events[max(0, len(line.Events)-20):] {
-		t.say("  %s %s %s %s", e.Entry, e.Name, e.Instance, e.Text)
+		t.logf("  %s %s %s %s", e.Entry, e.Name, e.Instance, e.Text)
 	}
 }
 
-func (r Result) broken() []string {
-	broken := r.Verdict.Broken()
-	for name, m := range r.History.Margin {
+func (r Result) violations() []string {
+	broken := r.Requests.Violations()
+	for name, m := range r.History.MinMargin {
 		if m < 0 {
 			broken = append(broken, fmt.Sprintf("the budget of %s was broken by %d", name, -m))
 		}
 	}
-	for _, id := range r.History.Doubled {
+	for _, id := range r.History.RanTwice {
 		broken = append(broken, "job "+id+" ran twice")
 	}
-	return append(broken, r.Cuts...)
+	return append(broken, r.PlatformViolations...)
 }
 
-func (t *trialRun) report(r Result) {
-	v := r.Verdict
-	out := t.o.Out
-	fmt.Fprintf(out, "\nrequests %d: whole %d, not run %d, unknown %d; lost %d, doubled %d\n", v.Requests, v.Whole, v.NotRun, v.Unknown, v.Lost, v.Doubled)
+func (t *trialRun) printReport(r Result) {
+	v := r.Requests
+	out := t.options.Out
+	fmt.Fprintf(out, "\nrequests %d: whole %d, not run %d, unknown %d; lost %d, doubled %d\n", v.Requests, v.Whole, v.NotRun, v.Unknown, v.NoAnswer, v.RanTwice)
 	for _, reason := range slices.Sorted(maps.Keys(v.Reasons)) {
 		fmt.Fprintf(out, "  %-24s %d\n", reason, v.Reasons[reason])
 	}
 	fmt.Fprintf(out, "time of whole answers: p50 %s, p99 %s\n", v.P50.Round(100*time.Microsecond), v.P99.Round(100*time.Microsecond))
-	lowest := slices.Min(slices.Collect(maps.Values(r.History.Margin)))
+	lowest := slices.Min(slices.Collect(maps.Values(r.History.MinMargin)))
 	fmt.Fprintf(out, "budgets: lowest margin %d\n", lowest)
 	fmt.Fprintf(out, "jobs: %v\n", r.History.Jobs)
-	fmt.Fprintf(out, "roll-out time %s, buffer %d instances, job moves %d\n", r.RollOut.Round(10*time.Millisecond), r.History.Buffer, r.History.Moves)
+	fmt.Fprintf(out, "roll-out time %s, buffer %d instances, job moves %d\n", r.RollOut.Round(10*time.Millisecond), r.History.MaxOut, r.History.Moves)
 	if len(r.Broken) == 0 {
 		fmt.Fprintln(out, "every promise was kept")
 		return
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -54,14 +54,14 @@
 	crashed atomic.Bool
 }
 
-// PlatformPlace stands for the platform in Cut.
-const PlatformPlace = "platform"
+// PlatformEndpoint stands for the platform in Cut.
+const PlatformEndpoint = "platform"
 
 // Start runs a site without a configuration; Stop ends it.
 func Start(spec Spec, logger log.Logger) (*Site, error) { return start(spec, logger, nil) }
 
-// startWith is Start with a switch at the platform.
-func startWith(spec Spec, probe func(standin.Call, bool) bool) (*Site, error) {
+// startWithProbe is Start with a switch at the platform.
+func startWithProbe(spec Spec, probe func(standin.Call, bool) bool) (*Site, error) {
 	return start(spec, nil, probe)
 }
 
@@ -139,17 +139,17 @@
 				return err
 			}
 			s.Targets[t.Instance] = t
-			s.put(t.Instance, i*s.Spec.RunnersEach+j, address, t)
+			s.addInstance(t.Instance, i*s.Spec.RunnersEach+j, address, t)
 		}
 	}
 	for i := range s.Spec.Workers {
-		s.put(WorkerName(i), s.Spec.Services*s.Spec.RunnersEach+i, "127.0.0.1:9", nil)
+		s.addInstance(WorkerName(i), s.Spec.Services*s.Spec.RunnersEach+i, "127.0.0.1:9", nil)
 	}
 	return nil
 }
 
-// put lists the n-th instance; racks are filled within a data centre.
-func (s *Site) put(id string, n int, address string, t *standin.Target) {
+// addInstance lists the n-th instance; racks are filled within a data centre.
+func (s *Site) addInstance(id string, n int, address string, t *standin.Target) {
 	centre := Centre(n % s.Spec.DataCentres)
 	rack := fmt.Sprintf("%s-rack-%d", centre, n/s.Spec.DataCentres/s.Spec.RackSize+1)
 	s.Platform.Put(provider.Listed{ID: id, Role: provider.RoleWorker, DataCentre: centre, Rack: rack, Address: address,
@@ -167,7 +167,7 @@
 	}
 	e, err := entry.New(settings, entry.Options{
 		Logger:   s.Logger,
-		Platform: &cutTransport{site: s, centre: centre, next: s.transport()},
+		Platform: &partitionTransport{site: s, centre: centre, next: s.transport()},
 		Listen:   s.listen,
 		Dial:     s.dial(),
 		Probe:    s.probe(name),
@@ -206,8 +206,8 @@
 	return peers
 }
 
-// take removes the entry from those that run and returns it, or nil.
-func (s *Site) take(name string) *node {
+// removeEntry removes the entry from those that run and returns it, or nil.
+func (s *Site) removeEntry(name string) *node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.entries[name]
@@ -217,7 +217,7 @@
 
 // StopEntry stops the entry as planned and takes it out of the list.
 func (s *Site) StopEntry(name string) {
-	n := s.take(name)
+	n := s.removeEntry(name)
 	if n == nil {
 		return
 	}
@@ -228,7 +228,7 @@
 
 // CrashEntry ends the entry at once, without a planned stop; the platform still lists it.
 func (s *Site) CrashEntry(name string) {
-	n := s.take(name)
+	n := s.removeEntry(name)
 	if n == nil {
 		return
 	}
@@ -279,7 +279,7 @@
 
 // Isolate cuts a data centre off from the others and the platform, or joins it again.
 func (s *Site) Isolate(centre string, cut bool) {
-	s.SetCut(centre, PlatformPlace, cut)
+	s.SetCut(centre, PlatformEndpoint, cut)
 	for i := range s.Spec.DataCentres {
 		if other := Centre(i); other != centre {
 			s.SetCut(centre, other, cut)
@@ -293,8 +293,8 @@
 	return s.cuts[[2]string{a, b}]
 }
 
-// cutTransport fails while a data centre is cut off from the platform.
-type cutTransport struct {
+// partitionTransport fails while a data centre is cut off from the platform.
+type partitionTransport struct {
 	site   *Site
 	centre string
 	next   http.RoundTripper
@@ -303,8 +303,8 @@
 var errCut = errors.New("cut off from the platform")
 
 // RoundTrip sends the request unless the place is cut off.
-func (t *cutTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if t.site.isCut(t.centre, PlatformPlace) {
+func (t *partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if t.site.isCut(t.centre, PlatformEndpoint) {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errCut}
 	}
 	return t.next.RoundTrip(r)
@@ -339,7 +339,7 @@
 	defer s.mu.Unlock()
 	best := ""
 	for name, n := range s.entries {
-		if (best == "" || name < best) && !s.cuts[[2]string{n.centre, PlatformPlace}] {
+		if (best == "" || name < best) && !s.cuts[[2]string{n.centre, PlatformEndpoint}] {
 			best = name
 		}
 	}
@@ -370,12 +370,12 @@
 	if err != nil {
 		return fmt.Errorf("publish: %w", err)
 	}
-	err = s.Await(ctx, func() bool { return s.settled(ctx) })
+	err = s.Await(ctx, func() bool { return s.converged(ctx) })
 	s.Platform.Settle()
 	return err
 }
 
-func (s *Site) settled(ctx context.Context) bool {
+func (s *Site) converged(ctx context.Context) bool {
 	st, err := s.Operator(OperatorToken).Status(ctx)
 	if err != nil || len(st.Entries) < s.Spec.DataCentres*s.Spec.EntriesEach {
 		return false
--- a/internal/trial/site_test.go
+++ b/internal/trial/site_test.go
@@ -22,8 +22,8 @@
 	"rackstep.dev/serve"
 )
 
-// fakeSite starts a small site on fake time and publishes its configuration.
-func fakeSite(c *quicktest.C, spec Spec) *Site {
+// startFakeTimeSite starts a small site on fake time and publishes its configuration.
+func startFakeTimeSite(c *quicktest.C, spec Spec) *Site {
 	spec.Network = new(memnet.Network)
 	s, err := Start(spec, nil)
 	c.Assert(err, quicktest.IsNil)
@@ -34,13 +34,13 @@
 	return s
 }
 
-// smallest is a site on which every step can happen.
-func smallest() Spec {
+// smallSpec is a site on which every step can happen.
+func smallSpec() Spec {
 	return Spec{DataCentres: 2, EntriesEach: 2, Services: 1, RunnersEach: 4, Workers: 2, Cores: 4, MemoryMB: 1024, RackSize: 2, Spare: 1, RebootTime: time.Second}
 }
 
-// jobsOf returns the site's jobs by ID, as some entry knows them.
-func jobsOf(ctx context.Context, c *quicktest.C, s *Site) map[string]fleet.Job {
+// jobsByID returns the site's jobs by ID, as some entry knows them.
+func jobsByID(ctx context.Context, c *quicktest.C, s *Site) map[string]fleet.Job {
 	c.Helper()
 	rows, err := s.Operator(OperatorToken).Jobs(ctx)
 	c.Assert(err, quicktest.IsNil)
@@ -54,7 +54,7 @@
 func TestMaintenanceUnderLoadKeepsEveryPromise(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		load := &Load{Site: s, Callers: 4, Work: 20 * time.Millisecond, Pause: 50 * time.Millisecond}
@@ -70,8 +70,8 @@
 		c.Assert(s.AwaitPlan(ctx, p.ID, fleet.PlanDone), quicktest.IsNil)
 		stop()
 		<-done
-		v := s.Judge(load.Told())
-		c.Assert(v.Broken(), quicktest.HasLen, 0)
+		v := s.Evaluate(load.Replies())
+		c.Assert(v.Violations(), quicktest.HasLen, 0)
 		c.Assert(v.NotRun, quicktest.Equals, 0)
 		c.Assert(v.Whole > 100, quicktest.IsTrue)
 		c.Assert(s.Platform.Cuts(), quicktest.HasLen, 0)
@@ -82,9 +82,9 @@
 func TestAtTwiceTheCapacityGoodputStays(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		spec := smallest()
+		spec := smallSpec()
 		spec.Workers = 0
-		s := fakeSite(c, spec)
+		s := startFakeTimeSite(c, spec)
 		const each, seconds = 100 * time.Millisecond, 4
 		capacity := spec.RunnersEach * fleet.DefaultSlots * int(time.Second/each)
 		load := &Load{Site: s, Work: each}
@@ -96,12 +96,12 @@
 		for i := range 2 * capacity * seconds {
 			time.Sleep(time.Second / time.Duration(2*capacity))
 			all.Go(func() {
-				told := load.Send(callers[i%len(callers)], load.request(ServiceName(0), fmt.Sprint("m", i), false))
-				load.remember(told)
+				told := load.Send(callers[i%len(callers)], load.repeatableRequest(ServiceName(0), fmt.Sprint("m", i), false))
+				load.record(told)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case told.Reason == serve.ReasonQueueFull && told.Took > 50*time.Millisecond:
+				case told.Reason == serve.ReasonQueueFull && told.Latency > 50*time.Millisecond:
 					late++
 				case told.Outcome == serve.OutcomeWhole && time.Since(begin) <= seconds*time.Second:
 					good++
@@ -110,9 +110,9 @@
 		}
 		all.Wait()
 		could := float64(capacity) * (seconds*time.Second - each).Seconds() // none can end before the first's time
-		v := s.Judge(load.Told())
+		v := s.Evaluate(load.Replies())
 		t.Logf("%d whole answers of the %.0f that the targets could give, %+v", good, could, v)
-		c.Assert(v.Broken(), quicktest.HasLen, 0)
+		c.Assert(v.Violations(), quicktest.HasLen, 0)
 		c.Assert(float64(good) >= 0.95*could, quicktest.IsTrue)
 		c.Assert(late, quicktest.Equals, 0) // on a fake clock: refused in the same instant
 	})
@@ -122,14 +122,14 @@
 func TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
 		for _, id := range [...]string{"first", "second"} {
 			c.Assert(run.submit(ctx, fleet.JobSpec{ID: id, Pool: BatchPool, Cores: 2, RunTime: fleet.Duration(20 * time.Second), Command: "run 20s use 3.2"}), quicktest.IsNil)
 		}
-		jobs := func() map[string]fleet.Job { return jobsOf(ctx, c, s) }
+		jobs := func() map[string]fleet.Job { return jobsByID(ctx, c, s) }
 		c.Assert(s.Await(ctx, func() bool { return jobs()["first"].Limit > 0 && jobs()["second"].Limit > 0 }), quicktest.IsNil)
 		c.Assert(jobs()["first"].Used.Cores, quicktest.Equals, 4)
 		c.Assert(s.Await(ctx, func() bool { return jobs()["first"].State == fleet.JobDone && jobs()["second"].State == fleet.JobDone }), quicktest.IsNil)
@@ -143,7 +143,7 @@
 func TestJobsOutliveALongOutageOfTheLog(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
@@ -151,14 +151,14 @@
 			c.Assert(run.submit(ctx, fleet.JobSpec{ID: id, Pool: BatchPool, Cores: 2, RunTime: fleet.Duration(time.Minute), Command: command}), quicktest.IsNil)
 		}
 		c.Assert(s.Await(ctx, func() bool {
-			jobs := jobsOf(ctx, c, s)
+			jobs := jobsByID(ctx, c, s)
 			return jobs["ends-after-it"].State == fleet.JobRunning && jobs["ends-during-it"].State == fleet.JobRunning
 		}), quicktest.IsNil)
 		s.Platform.SetFaults(standin.Faults{LogDown: true})
 		time.Sleep(4 * time.Minute)
 		s.Platform.SetFaults(standin.Faults{})
 		time.Sleep(4 * time.Minute)
-		for id, j := range jobsOf(ctx, c, s) {
+		for id, j := range jobsByID(ctx, c, s) {
 			c.Assert(j.State, quicktest.Equals, fleet.JobDone, quicktest.Commentf("%s: %s", id, j.Note))
 		}
 		for id, n := range s.Platform.Starts() {
@@ -171,7 +171,7 @@
 func TestUrgentWorkStartsInTimeWhenEverythingIsFull(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
@@ -181,7 +181,7 @@
 		}
 		in := func(state fleet.JobState) map[string]bool {
 			ids := make(map[string]bool)
-			for id, j := range jobsOf(ctx, c, s) {
+			for id, j := range jobsByID(ctx, c, s) {
 				if j.State == state {
 					ids[id] = true
 				}
