--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,16 +1,18 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package capacity measures what an entry costs at several sizes and fits slopes
-to the figures.
+Package capacity measures the resource usage of an entry at several site sizes
+and fits a linear model to the measurements.
 
-Write lays down the settings of a site of separate processes; a script starts
-them. Sample watches the processes for a while and returns one Point. Fit takes
-the points of several sizes and returns, for each figure, a base and a slope for
-each dimension of the size, with the error of the fit:
+Size.Write writes the settings of a site of separate processes, which
+tools/capacity.sh starts. Sample measures the processes over an interval and
+returns one Point. FitPoints takes the points of several sizes and returns, for
+one figure, a base and a slope for each dimension of the size, with the error of
+the fit:
 
 	cost = base + a·entries + b·workers + ...
 
-Counts and ratios are preferred to times, because the machine is shared.
+Counts and ratios are preferred to durations, because the machine that runs the
+measurement is shared.
 */
 package capacity
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -10,16 +10,16 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Figure is one measured quantity of a Point.
+// Figure is one quantity derived from a Point.
 type Figure struct {
 	Name string              `json:"name"`
 	Unit string              `json:"unit"`
 	Of   func(Point) float64 `json:"-"`
-	// Limit is the users' bound for one node; none when 0.
+	// Limit is the highest value that the requirements allow for one node; 0 means no limit.
 	Limit float64 `json:"limit,omitempty"`
 }
 
-// Figures returns what is fitted.
+// Figures returns the quantities to fit.
 func Figures() []Figure {
 	return []Figure{
 		{"cpu", "% of a core", func(p Point) float64 { return p.CPU }, 2.6},
@@ -30,56 +30,57 @@
 	}
 }
 
-// Fit is base + perEntry·entries + perWorker·workers + perJob·jobs.
+// Fit is the linear model base + perEntry·entries + perWorker·workers + perJob·jobs.
 type Fit struct {
 	Figure    Figure  `json:"figure"`
 	Base      float64 `json:"base"`
 	PerEntry  float64 `json:"per_entry"`
 	PerWorker float64 `json:"per_worker"`
 	PerJob    float64 `json:"per_job"`
-	// Error is the root of the mean squared difference between the points and the fit.
+	// Error is the root mean square error of the fit.
 	Error  float64 `json:"error"`
 	Points int     `json:"points"`
 }
 
-// At returns the fit's value at the size with the number of running jobs.
+// At returns the predicted value for the size and number of running jobs.
 func (f Fit) At(s Size, jobs int) float64 {
 	return f.Base + f.PerEntry*float64(s.Entries) + f.PerWorker*float64(s.Workers) + f.PerJob*float64(jobs)
 }
 
-// regressors returns what the figure is taken to depend on, as far as the points differ in it.
+// regressors returns the independent variables of the model. The number of jobs is one only if some point has running jobs,
+// since the system would be singular otherwise.
 func regressors(points []Point) []func(Point) float64 {
-	all := []func(Point) float64{
+	vars := []func(Point) float64{
 		func(Point) float64 { return 1 },
 		func(p Point) float64 { return float64(p.Entries) },
 		func(p Point) float64 { return float64(p.Workers) },
 	}
 	if slices.ContainsFunc(points, func(p Point) bool { return p.Jobs > 0 }) {
-		all = append(all, func(p Point) float64 { return float64(p.Jobs) })
+		vars = append(vars, func(p Point) float64 { return float64(p.Jobs) })
 	}
-	return all
+	return vars
 }
 
-// FitOf fits the figure to the points by least squares; it fails with fewer points than unknowns.
+// FitPoints fits the figure to the points by least squares; it fails with fewer points than coefficients.
 func FitOf(fig Figure, points []Point) (Fit, error) {
-	of := regressors(points)
-	if len(points) < len(of) {
-		return Fit{}, fmt.Errorf("%d points do not give %d slopes; measure more sizes", len(points), len(of))
+	vars := regressors(points)
+	if len(points) < len(vars) {
+		return Fit{}, fmt.Errorf("%d points are too few to fit %d coefficients; measure more sizes", len(points), len(vars))
 	}
-	a := mat.NewDense(len(points), len(of), nil)
+	a := mat.NewDense(len(points), len(vars), nil)
 	b := mat.NewDense(len(points), 1, nil)
 	for i, p := range points {
-		for k, x := range of {
+		for k, x := range vars {
 			a.Set(i, k, x(p))
 		}
 		b.Set(i, 0, fig.Of(p))
 	}
 	var x mat.Dense
 	if err := x.Solve(a, b); err != nil {
-		return Fit{}, fmt.Errorf("the sizes do not tell the slopes apart: %w", err)
+		return Fit{}, fmt.Errorf("the measured sizes do not determine the slopes: %w", err)
 	}
 	f := Fit{Figure: fig, Base: x.At(0, 0), PerEntry: x.At(1, 0), PerWorker: x.At(2, 0), Points: len(points)}
-	if len(of) > 3 {
+	if len(vars) > 3 {
 		f.PerJob = x.At(3, 0)
 	}
 	sum := 0.0
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -10,6 +10,8 @@
 	"github.com/frankban/quicktest"
 )
 
+// TestAFitFindsTheSlopesThatMadeThePoints fits points of a known linear model and expects its coefficients. The function
+// in a Figure must not keep the fit from being encoded as JSON, and too few points must give an error.
 func TestAFitFindsTheSlopesThatMadeThePoints(t *testing.T) {
 	c := quicktest.New(t)
 	var points []Point
--- a/internal/capacity/jobs.go
+++ b/internal/capacity/jobs.go
@@ -14,32 +14,32 @@
 	"rackstep.dev/fleet"
 )
 
-// Sizes of the submitted jobs, and how many are submitted at once.
+// Resources and run time of each submitted job, and the limits of submission.
 const (
-	jobCores     = 4
-	jobMemoryMB  = 1024
-	jobRunTime      = 30 * time.Minute
+	jobCores             = 4
+	jobMemoryMB          = 1024
+	jobRunTime           = 30 * time.Minute
 	maxConcurrentSubmits = 64
-	submitTimeout   = 15 * time.Second
+	submitTimeout        = 15 * time.Second
 )
 
-// Submit gives the site's entries the jobs, in turn over entries, pools and teams, and returns the first error.
+// Submit submits the given number of jobs, spread round-robin over entries, pools and teams, and returns the first error.
 func (s Size) Submit(ctx context.Context, jobs int) error {
-	places := make(chan struct{}, maxConcurrentSubmits)
-	failed := make(chan error, jobs)
-	var work sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentSubmits)
+	errs := make(chan error, jobs)
+	var wg sync.WaitGroup
 	for i := range jobs {
-		places <- struct{}{}
-		work.Go(func() {
-			defer func() { <-places }()
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
 			if err := s.submit(ctx, i); err != nil {
-				failed <- err
+				errs <- err
 			}
 		})
 	}
-	work.Wait()
-	close(failed)
-	return <-failed
+	wg.Wait()
+	close(errs)
+	return <-errs
 }
 
 func (s Size) submit(ctx context.Context, i int) error {
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -18,42 +18,42 @@
 	"rackstep.dev/fleet"
 )
 
-// Point is what was measured at one size; figures of entries are means over all of them.
+// Point is one measurement at one size. Unless noted otherwise, figures are means over the running entries.
 type Point struct {
 	Size
-	// Load names what went on meanwhile.
+	// Load names the workload during the measurement.
 	Load string `json:"load"`
-	// Jobs are those that ran at the end.
+	// Jobs is the number of running jobs at the end of the measurement.
 	Jobs int `json:"jobs"`
-	// MostCPU and MostBytes are those of the entry that used most.
-	MostCPU   float64 `json:"most_cpu_percent"`
+	// MaxCPU and MaxBytes are the highest values of any entry.
+	MostCPU  float64 `json:"most_cpu_percent"`
 	MaxBytes float64 `json:"most_bytes_per_second"`
-	// CPU is the part of one core in percent, Memory the resident bytes.
+	// CPU is in percent of one core; Memory is the resident set in bytes.
 	CPU    float64 `json:"cpu_percent"`
 	Memory float64 `json:"memory_bytes"`
-	// PeerBytes and PlatformBytes are per second, in and out added.
+	// PeerBytes and PlatformBytes are bytes per second, received and sent together.
 	PeerBytes     float64 `json:"peer_bytes_per_second"`
 	PlatformBytes float64 `json:"platform_bytes_per_second"`
-	// Records are those of the fleet log per second, for the whole site.
+	// Records is the number of fleet log records per second for the whole site.
 	Records float64 `json:"records_per_second"`
 	Seconds float64 `json:"seconds"`
 }
 
-// process is one entry as the system and the entry itself see it.
+// process is a running entry: its process ID and a client of its operators' interface.
 type process struct {
 	pid    int
 	client *admin.Client
 }
 
-// reading is what one process had used at a moment.
+// reading is the cumulative usage of one process at one time.
 type reading struct {
 	ticks  float64
 	memory float64
 	status admin.Status
 }
 
-// Sample watches the processes of the folder for the time and returns their mean cost; with fromStart it counts all that
-// they have used since they began.
+// Sample measures the processes of the folder over the duration d and returns their mean usage. With fromStart the usage
+// since the start of the processes is divided by d instead.
 func Sample(ctx context.Context, dir, load string, d time.Duration, fromStart bool) (Point, error) {
 	size, err := ReadSize(dir)
 	if err != nil {
@@ -69,7 +69,7 @@
 			return Point{}, err
 		}
 	}
-	begin := time.Now()
+	start := time.Now()
 	select {
 	case <-ctx.Done():
 		return Point{}, ctx.Err()
@@ -79,10 +79,10 @@
 	if err != nil {
 		return Point{}, err
 	}
-	return newPoint(size, load, before, after, time.Since(begin).Seconds()), nil
+	return newPoint(size, load, before, after, time.Since(start).Seconds()), nil
 }
 
-// ReadSize returns the size that Write has laid down in the folder.
+// ReadSize reads the size that Write stored in the folder.
 func ReadSize(dir string) (Size, error) {
 	var size Size
 	b, err := os.ReadFile(filepath.Join(dir, "size.json"))
@@ -100,14 +100,14 @@
 	for i := range s.Entries {
 		b, err := os.ReadFile(filepath.Join(dir, EntryName(i)+".pid"))
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // it was lost
+			continue // the script deletes the file of an entry that it has killed
 		}
 		if err != nil {
-			return nil, fmt.Errorf("read the process id: %w", err)
+			return nil, fmt.Errorf("read process ID of %s: %w", EntryName(i), err)
 		}
 		pid, err := strconv.Atoi(strings.TrimSpace(string(b)))
 		if err != nil {
-			return nil, fmt.Errorf("read the process id: %w", err)
+			return nil, fmt.Errorf("read process ID of %s: %w", EntryName(i), err)
 		}
 		out = append(out, process{pid, &admin.Client{Address: OperatorAddress(i), Token: OperatorToken}})
 	}
@@ -126,7 +126,7 @@
 	return out, nil
 }
 
-// Fields of /proc/PID/stat after the command's name, counted from 0, and the length of a clock tick.
+// Indexes into the fields of /proc/PID/stat that follow the command name, and the clock ticks per second (USER_HZ).
 const (
 	fieldUser      = 11
 	fieldSystem    = 12
@@ -141,7 +141,7 @@
 	}
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.pid))
 	if err != nil {
-		return reading{}, fmt.Errorf("read the process's times: %w", err)
+		return reading{}, fmt.Errorf("read usage of process %d: %w", p.pid, err)
 	}
 	_, rest, _ := strings.Cut(string(b), ") ")
 	f := strings.Fields(rest)
@@ -149,7 +149,7 @@
 		return reading{}, fmt.Errorf("process %d has ended", p.pid)
 	}
 	number := func(i int) float64 {
-		v, _ := strconv.ParseFloat(f[i], 64) // the system writes numbers
+		v, _ := strconv.ParseFloat(f[i], 64) // the kernel writes these fields as decimal numbers
 		return v
 	}
 	return reading{ticks: number(fieldUser) + number(fieldSystem), memory: number(fieldResident) * float64(os.Getpagesize()), status: st}, nil
--- a/internal/capacity/site.go
+++ b/internal/capacity/site.go
@@ -13,7 +13,7 @@
 	"rackstep.dev/serve"
 )
 
-// Size is what the cost of an entry may depend on.
+// Size holds the dimensions of a site that the usage of an entry may depend on.
 type Size struct {
 	Entries int `json:"entries"`
 	Centres int `json:"centres"`
@@ -22,12 +22,12 @@
 	Teams   int `json:"teams"`
 }
 
-// Ports and tokens of a measured site.
+// Loopback ports and the operator's token of a measured site.
 const (
-	platformPort  = 20000
-	firstEntryPort     = 20010
-	portsPerEntry     = 3
-	OperatorToken = "capacity-operator-token"
+	platformPort   = 20000
+	firstEntryPort = 20010
+	portsPerEntry  = 3
+	OperatorToken  = "capacity-operator-token"
 )
 
 // EntryName returns the name of the i-th entry.
@@ -40,10 +40,10 @@
 
 func (s Size) dataCentreName(i int) string { return fmt.Sprintf("dc-%d", i%s.Centres+1) }
 
-// Write lays down the settings of the stand-in, the entries and the configuration in the folder.
+// Write writes the settings of the stand-in platform and of the entries, and the configuration, to the folder.
 func (s Size) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("make the folder: %w", err)
+		return fmt.Errorf("create folder: %w", err)
 	}
 	if err := writeJSON(dir, "size.json", s); err != nil {
 		return err
@@ -68,12 +68,12 @@
 		return fmt.Errorf("encode %s: %w", name, err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, name), b, 0o644); err != nil {
-		return fmt.Errorf("write: %w", err)
+		return fmt.Errorf("write %s: %w", name, err)
 	}
 	return nil
 }
 
-// Instance is one row of the stand-in's settings.
+// Instance is one instance in the settings of the stand-in platform.
 type Instance struct {
 	ID         string `json:"id"`
 	Role       string `json:"role"`
@@ -83,13 +83,13 @@
 	MemoryMB   int    `json:"memory_mb"`
 }
 
-// Standin are the stand-in's settings.
+// Standin holds the settings of the stand-in platform.
 type Standin struct {
 	Address   string     `json:"address"`
 	Instances []Instance `json:"instances"`
 }
 
-const rackSize = 4
+const rackSize = 4 // workers in each rack
 
 func (s Size) standin() Standin {
 	out := Standin{Address: loopback(platformPort)}
@@ -131,7 +131,7 @@
 	return c
 }
 
-// maxSeedPeers is the number of other entries that an entry's settings name; the log tells it of the rest.
+// maxSeedPeers limits the peers named in an entry's settings; an entry learns of the others from the fleet log.
 const maxSeedPeers = 6
 
 func (s Size) settings(i int) config.Settings {
--- a/internal/drive/cost_test.go
+++ b/internal/drive/cost_test.go
@@ -10,7 +10,7 @@
 	"rackstep.dev/place"
 )
 
-// scaledTo returns the two-year size cut down to the number of pools.
+// scaledTo returns the two-year size reduced to the number of pools, with teams in proportion.
 func scaledTo(pools int) Size {
 	s := TwoYears()
 	s.Teams = s.Teams * pools / s.Pools
@@ -18,7 +18,7 @@
 	return s
 }
 
-// newPlacedTables returns the tables of the size with its jobs placed.
+// newPlacedTables returns the tables of the size after its jobs are submitted and placed.
 func newPlacedTables(s Size) *fleet.Tables {
 	r := newSimulation(s, Policy{}, 1)
 	r.submitJobs()
@@ -26,7 +26,7 @@
 	return r.tables
 }
 
-// BenchmarkCheckpoint gives the time and the bytes of carrying the tables forward, at three sizes.
+// BenchmarkCheckpoint measures writing and loading a checkpoint of the tables, and its size, at three sizes.
 func BenchmarkCheckpoint(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
 		t := newPlacedTables(scaledTo(pools))
@@ -55,7 +55,7 @@
 	}
 }
 
-// BenchmarkPlace gives the time of one decision with a hundred pending jobs, at three sizes.
+// BenchmarkPlace measures one placement decision with a hundred pending jobs, at three sizes.
 func BenchmarkPlace(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
 		r := newSimulation(scaledTo(pools), Policy{}, 1)
@@ -67,14 +67,14 @@
 		b.Run(fmt.Sprintf("workers=%d/jobs=%d", r.tables.Instances.Len(), r.tables.Jobs.Len()), func(b *testing.B) {
 			for b.Loop() {
 				if d := place.Decide(r.tables, place.Options{}); len(d.Starts) == 0 {
-					b.Fatal("nothing was placed")
+					b.Fatal("no pending job was placed")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkFold gives the time of one record of a job's course, at three sizes.
+// BenchmarkFold measures applying one submit record to the tables, at three sizes.
 func BenchmarkFold(b *testing.B) {
 	for _, pools := range [...]int{2, 8, 22} {
 		r := newSimulation(scaledTo(pools), Policy{}, 1)
--- a/internal/drive/doc.go
+++ b/internal/drive/doc.go
@@ -1,16 +1,17 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package drive runs the decisions of control tick by tick on fake time over real
-tables: the fold, plan.Next and place.Decide.
+Package drive simulates maintenance waves. It advances fake time in ticks and
+applies the real control decisions (the fold of records into the tables,
+plan.Next and place.Decide) to real tables.
 
-It is a driver of decisions and not a model of machines. A reboot takes a given
-time, a job ends when its true run time has passed, and every entry
-acknowledges at once:
+Machines are not modelled in detail: a reboot takes a fixed time, a job ends
+when its true run time has passed, and every entry acknowledges at once:
 
-	r := drive.Wave(drive.Muscat(), drive.Policy{})
+	r := drive.SimulateWave(drive.Muscat(), drive.Policy{})
 
-The result stands beside bounds that no policy can beat and beside the baseline
-that maintains one rack at a time and places on the first worker with room.
+The result includes bounds that no policy can beat. The baseline to compare it
+with maintains one rack at a time and places each job on the first worker with
+room.
 */
 package drive
--- a/internal/drive/simulate.go
+++ b/internal/drive/simulate.go
@@ -13,17 +13,18 @@
 	"rackstep.dev/plan"
 )
 
-// Policy chooses between rackstep's decisions and the baseline.
+// Policy selects rackstep's decisions or the baseline, and the conditions of the wave.
 type Policy struct {
-	// Baseline maintains one rack at a time, moves every job at once and places on the first worker with room.
+	// Baseline maintains one rack at a time, checkpoints every job as soon as its instance drains, and places each job on
+	// the first worker with room.
 	Baseline bool
-	// RackFails takes a whole rack down for a while in the middle of the wave.
+	// RackFails takes one rack down for rackOutage during the wave.
 	RackFails bool
-	// Declared plans on the sizes that callers declare, as if the platform reported no usage.
+	// Declared plans with the sizes and run times that callers declare, as if the platform reported no usage.
 	Declared bool
 }
 
-// SumWaves returns the sums of several results, so that ratios of them are means.
+// SumWaves simulates a wave for each seed and sums the results, so that ratios of two sums are weighted means.
 func SumWaves(s Size, p Policy, seeds int) Result {
 	sum := Result{Size: s.Name, Policy: p, Completed: true}
 	for seed := range seeds {
@@ -50,32 +51,34 @@
 	return sum
 }
 
-// Result is what one maintenance wave cost, beside the bounds.
+// Result holds the measurements of one maintenance wave and the bounds to compare them with.
 type Result struct {
 	Size         string
 	Policy       Policy
 	RollOut      time.Duration
 	RollOutBound time.Duration
 	Moves        int
-	// MovesBound counts the jobs of the beginning that could not end before their worker's turn.
+	// MovesBound counts the initial jobs that were still unfinished when their instance began to drain.
 	MovesBound int
-	// UnavoidableMoves counts those that outlast the shortest wave, whatever the order of the turns.
+	// UnavoidableMoves counts the initial jobs that outlast the shortest possible wave, whatever the order of the
+	// instances.
 	UnavoidableMoves int
-	// RepeatMoves counts the moves of jobs that had been moved before.
+	// RepeatMoves counts the moves after the first of each job.
 	RepeatMoves int
-	// Buffer is the mean number of instances out while the wave ran, BufferBound the least mean for its length.
+	// Buffer is the mean number of instances out of service during the wave, BufferBound the lowest possible mean for a
+	// wave of the same duration.
 	Buffer, BufferBound float64
-	// PeakOut is the most instances out at once.
+	// PeakOut is the highest number of instances out of service at once.
 	PeakOut int
-	// Jobs is the number of jobs that ran, Ended says that the wave came to its end.
-	Jobs  int
+	// Jobs is the number of jobs submitted; Completed reports whether the plan finished within maxWaveTime.
+	Jobs      int
 	Completed bool
-	// RunSeconds are the seconds that jobs ran, Lost those of them that they did not get on because they were slowed, Overload
-	// those lost because more was in use than the instance has.
+	// RunSeconds is the run time of all jobs together. SlowedSeconds is the part lost to throttles and overload, and
+	// OverloadSeconds the part lost to overload alone, when jobs demand more cores than their instance has.
 	RunSeconds, SlowedSeconds, OverloadSeconds float64
-	// Measures, Throttles and Yields count what was decided because of usage.
+	// Measures, Throttles and Yields count the decisions based on reported usage.
 	Measures, Throttles, Yields int
-	// MinMargin is the least that a take-out left to a budget.
+	// MinMargin is the lowest spare capacity of any budget when an instance began to drain.
 	MinMargin int
 }
 
@@ -83,44 +86,44 @@
 	tick        = 5 * time.Second
 	maxWaveTime = 48 * time.Hour
 	rackOutage  = 30 * time.Minute
-	// checkpointTime is how long a displaced job takes to stop with its progress kept.
+	// checkpointTime is the time that a job takes to write a checkpoint and stop.
 	checkpointTime = 10 * time.Second
 )
 
-// simJob is a job's true course, which the decisions do not know.
+// simJob is the true state of a job, which the decisions can't see.
 type simJob struct {
-	remaining    time.Duration // of its true run time
-	cores    float64       // the cores that it takes when nothing holds it back
-	usage    place.Seen    // what the platform reports
-	startedAt   time.Time     // of the current attempt
-	checkpointAt time.Time     // when its checkpoint is complete; zero when it stays
-	onFirstInstance   bool          // it has been on its first worker since before the wave
+	remaining    time.Duration // true run time that remains
+	cores        float64       // cores used when neither throttled nor on an overloaded instance
+	usage        place.Seen    // usage that the platform reports
+	startedAt    time.Time     // start of the current attempt
+	checkpointAt time.Time     // when its checkpoint is complete; zero if none was requested
+	uncounted    bool          // it was running before the wave and is not yet counted in MovesBound
 }
 
-// simulation drives one wave.
+// simulation is the state of one simulated wave.
 type simulation struct {
-	size   Size
-	policy Policy
+	size        Size
+	policy      Policy
 	tables      *fleet.Tables
-	now    time.Time
-	offset int64
-	random *rand.Rand
-	jobs   map[string]*simJob
-	commandEnds   map[string]time.Time // when each command is done
-	nextJob   int
-	outSeconds    float64 // instance-seconds out of service
-	result    Result
+	now         time.Time
+	offset      int64
+	random      *rand.Rand
+	jobs        map[string]*simJob
+	commandEnds map[string]time.Time // time at which each command is done, by ID
+	nextJob     int
+	outSeconds  float64 // instance-seconds out of service
+	result      Result
 }
 
-// SimulateWave maintains every instance of the fleet once and returns what that cost.
+// SimulateWave simulates the maintenance of every instance of the fleet and returns the measurements.
 func SimulateWave(s Size, p Policy, seed uint64) Result {
 	r := newSimulation(s, p, seed)
 	r.submitJobs()
 	r.placeJobs()
-	// Jobs in the middle of their course: the fleet has been running for long.
+	// Start each job at a random point of its first half, as in a fleet that has run for a long time.
 	for id := range r.tables.Jobs.All {
 		w := r.jobs[id]
-		w.onFirstInstance = true
+		w.uncounted = true
 		ran := time.Duration(r.random.Float64() * float64(w.remaining) / 2)
 		w.startedAt = r.now.Add(-ran)
 		w.remaining -= ran
@@ -142,32 +145,32 @@
 	return refused == nil
 }
 
-// submitJobs submits jobs until they ask for the fill of the cores.
+// submitJobs submits jobs until each pool's unfinished jobs request its share of cores given by Utilisation.
 func (r *simulation) submitJobs() {
-	asked := make(map[string]int)
+	requested := make(map[string]int)
 	for _, j := range r.tables.Jobs.All {
 		if !j.State.Ended() {
-			asked[j.Spec.Pool] += j.Spec.Cores
+			requested[j.Spec.Pool] += j.Spec.Cores
 		}
 	}
 	for i := range r.size.Pools {
 		pool := poolName(i)
-		for asked[pool] < int(r.size.Utilisation*float64(r.size.PoolSize*r.size.Cores)) {
+		for requested[pool] < int(r.size.Utilisation*float64(r.size.PoolSize*r.size.Cores)) {
 			cores := 1 + r.random.IntN(r.size.Cores/4)
-			asked[pool] += cores
+			requested[pool] += cores
 			r.submit(pool, cores)
 		}
 	}
 }
 
 func (r *simulation) submit(pool string, cores int) {
-	course := time.Duration((0.2 + r.random.ExpFloat64()) * float64(r.size.MeanRunTime))
-	wrong := math.Pow(r.size.EstimateError, 2*r.random.Float64()-1)
+	trueTime := time.Duration((0.2 + r.random.ExpFloat64()) * float64(r.size.MeanRunTime))
+	ratio := math.Pow(r.size.EstimateError, 2*r.random.Float64()-1)
 	id := fmt.Sprintf("job-%06d", r.nextJob)
 	r.nextJob++
-	spec := fleet.JobSpec{ID: id, Pool: pool, Cores: cores, MemoryMB: 256, RunTime: fleet.Duration(float64(course) * wrong), Repeatable: r.random.IntN(2) == 0}
+	spec := fleet.JobSpec{ID: id, Pool: pool, Cores: cores, MemoryMB: 256, RunTime: fleet.Duration(float64(trueTime) * ratio), Repeatable: r.random.IntN(2) == 0}
 	if r.apply(fleet.Record{By: "team", Submit: &fleet.Submit{Team: teamName(r.random.IntN(r.size.Teams)), Spec: spec}}) {
-		r.jobs[id] = &simJob{remaining: course, cores: r.trueCores(cores)}
+		r.jobs[id] = &simJob{remaining: trueTime, cores: r.trueCores(cores)}
 		r.result.Jobs++
 	}
 }
@@ -182,7 +185,7 @@
 	}
 }
 
-// runTimeMargin is what declared run times are multiplied by; 0 is what the tables have learned.
+// runTimeMargin returns the factor applied to declared run times; 0 selects the factor that the tables have learned.
 func (r *simulation) runTimeMargin() float64 {
 	if r.policy.Declared {
 		return 2
@@ -211,12 +214,12 @@
 	}
 	r.apply(fleet.Record{By: "operator", Propose: &fleet.Propose{Plan: p}})
 	r.apply(fleet.Record{By: "operator", Control: &fleet.Control{Plan: "wave", Order: fleet.OrderConfirm}})
-	begin := r.now
-	for r.tables.Plans.Get("wave").State == fleet.PlanRunning && r.now.Sub(begin) < maxWaveTime {
+	start := r.now
+	for r.tables.Plans.Get("wave").State == fleet.PlanRunning && r.now.Sub(start) < maxWaveTime {
 		r.now = r.now.Add(tick)
-		r.step(begin)
+		r.step(start)
 	}
-	r.result.RollOut = r.now.Sub(begin)
+	r.result.RollOut = r.now.Sub(start)
 	r.result.Completed = r.tables.Plans.Get("wave").State == fleet.PlanDone
 	r.result.Buffer = r.outSeconds / r.result.RollOut.Seconds()
 	r.result.BufferBound = float64(len(p.Steps)) * r.size.Maintenance.Seconds() / r.result.RollOut.Seconds()
@@ -226,7 +229,7 @@
 	}
 }
 
-// waveByRack gives each rack a wave of its own.
+// waveByRack assigns the steps of each rack to a wave of their own.
 func (r *simulation) waveByRack(p *fleet.Plan) {
 	waves := make(map[string]int)
 	for i := range p.Steps {
@@ -239,7 +242,7 @@
 	p.Waves = len(waves)
 }
 
-// countOutlasting counts the jobs that outlast even the shortest wave, whatever their worker's turn is.
+// countOutlasting counts the running jobs that outlast the shortest possible wave, whenever their instance is maintained.
 func (r *simulation) countOutlasting(shortest time.Duration) int {
 	n := 0
 	for id, w := range r.jobs {
@@ -250,9 +253,9 @@
 	return n
 }
 
-func (r *simulation) step(begin time.Time) {
+func (r *simulation) step(start time.Time) {
 	if r.policy.RackFails {
-		r.failRack(begin)
+		r.failRack(start)
 	}
 	r.runJobs()
 	r.endJobs()
@@ -264,9 +267,9 @@
 	r.countOut()
 }
 
-// failRack takes one rack down a quarter into the bound, and brings it back.
-func (r *simulation) failRack(begin time.Time) {
-	at := begin.Add(r.result.RollOutBound / 4)
+// failRack takes one rack down after a quarter of the roll-out bound and brings it back after rackOutage.
+func (r *simulation) failRack(start time.Time) {
+	at := start.Add(r.result.RollOutBound / 4)
 	var down bool
 	switch {
 	case r.now.After(at) && !r.now.After(at.Add(tick)):
@@ -275,13 +278,13 @@
 	default:
 		return
 	}
-	var seen []fleet.Observation
+	var observed []fleet.Observation
 	for id, in := range r.tables.Instances.All {
 		if in.Rack == r.size.rack(0) {
-			seen = append(seen, fleet.Observation{ID: id, Down: down})
+			observed = append(observed, fleet.Observation{ID: id, Down: down})
 		}
 	}
-	r.apply(fleet.Record{Observe: &fleet.Observe{Instances: seen}})
+	r.apply(fleet.Record{Observe: &fleet.Observe{Instances: observed}})
 	if !down {
 		return
 	}
@@ -317,18 +320,18 @@
 	}
 }
 
-// checkpointDraining has the jobs on draining instances leave, unless they are about to end.
+// checkpointDraining starts a checkpoint of the jobs on draining instances, except of those that are about to end.
 func (r *simulation) checkpointDraining() {
-	patience := r.costs().Wait(r.size.Weights)
+	maxWait := r.costs().Wait(r.size.Weights)
 	if r.policy.Baseline {
-		patience = 0
+		maxWait = 0
 	}
 	for id, j := range r.tables.Jobs.All {
 		w := r.jobs[id]
 		if w == nil || j.State != fleet.JobRunning || !w.checkpointAt.IsZero() || r.tables.Instances.Get(j.Instance).State != fleet.InstanceDraining {
 			continue
 		}
-		if plan.Leaves(j, r.now.Sub(w.startedAt), patience) {
+		if plan.Leaves(j, r.now.Sub(w.startedAt), maxWait) {
 			w.checkpointAt = r.now.Add(checkpointTime)
 		}
 	}
@@ -339,9 +342,9 @@
 		Acknowledged: func(*fleet.Instance) []string { return nil },
 		Missing:      func(*fleet.Instance) string { return "" },
 		Command: func(id string) plan.CommandFact {
-			done, asked := r.commandEnds[id]
+			done, issued := r.commandEnds[id]
 			switch {
-			case !asked:
+			case !issued:
 				return plan.CommandUnasked
 			case r.now.Before(done):
 				return plan.CommandRunning
@@ -351,15 +354,15 @@
 	}
 }
 
-// advancePlan carries out what may be done now, until nothing more follows.
+// advancePlan applies the plan's next decisions until no further one becomes possible in this tick.
 func (r *simulation) advancePlan() {
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for _, d := range plan.Next(r.tables, r.tables.Plans.Get("wave"), r.planFacts()) {
 			switch {
 			case d.Advance != nil:
 				if r.apply(fleet.Record{Advance: d.Advance}) {
-					again = true
+					changed = true
 					r.recordDrain(d.Advance)
 				}
 			case d.Command != nil:
@@ -374,9 +377,9 @@
 		return
 	}
 	for id, w := range r.jobs {
-		if j := r.tables.Jobs.Get(id); w.onFirstInstance && j.Instance == a.Instance && j.State == fleet.JobRunning && w.remaining > 0 {
+		if j := r.tables.Jobs.Get(id); w.uncounted && j.Instance == a.Instance && j.State == fleet.JobRunning && w.remaining > 0 {
 			r.result.MovesBound++
-			w.onFirstInstance = false
+			w.uncounted = false
 		}
 	}
 	for _, b := range r.tables.Configuration.Budgets() {
--- a/internal/drive/simulate_test.go
+++ b/internal/drive/simulate_test.go
@@ -9,6 +9,8 @@
 	"github.com/frankban/quicktest"
 )
 
+// TestAWaveEndsWithinTheBudgets guards against a wave that never completes and against drains that exceed a budget. With a
+// failed rack a budget may be exceeded without any drain, so only completion is checked.
 func TestAWaveEndsWithinTheBudgets(t *testing.T) {
 	for _, p := range [...]Policy{{}, {Baseline: true}, {RackFails: true}, {Declared: true}} {
 		c := quicktest.New(t)
@@ -18,10 +20,10 @@
 	}
 }
 
-// seedsPerFigure is the number of runs that one figure is the mean of.
+// seedsPerFigure is the number of simulations that each benchmark figure averages.
 const seedsPerFigure = 8
 
-// BenchmarkWave prints what a maintenance wave costs, for each site and policy, beside its bounds.
+// BenchmarkWave reports the measurements of a maintenance wave and their ratios to the bounds, for each size and policy.
 func BenchmarkWave(b *testing.B) {
 	for _, s := range Sizes() {
 		for _, p := range [...]Policy{{}, {Baseline: true}, {RackFails: true}, {Baseline: true, RackFails: true}, {Declared: true}} {
--- a/internal/drive/size.go
+++ b/internal/drive/size.go
@@ -9,34 +9,35 @@
 	"rackstep.dev/fleet"
 )
 
-// Size describes a fleet and its work.
+// Size describes a fleet and its workload.
 type Size struct {
 	Name        string
 	Pools       int
-	PoolSize        int // instances in each pool
-	Spare       int // of each pool, that the budget lets be out at once
+	PoolSize    int // instances in each pool
+	Spare       int // instances of each pool that the budget allows out of service at once
 	DataCentres int
 	RackSize    int
 	Cores       int
 	MemoryMB    int
 	Teams       int
-	// Utilisation is the part of the cores that jobs hold.
+	// Utilisation is the fraction of the cores that jobs request.
 	Utilisation float64
-	// MeanRunTime is the mean true run time of a job; declared times are wrong by up to Wrong times either way.
-	MeanRunTime time.Duration
-	EstimateError   float64
-	// Maintenance is the time of one reboot.
+	// MeanRunTime is the mean true run time of a job. Declared run times and sizes differ from the true ones by a factor of
+	// up to EstimateError in either direction.
+	MeanRunTime   time.Duration
+	EstimateError float64
+	// Maintenance is the duration of one reboot.
 	Maintenance time.Duration
 	Weights     fleet.Weights
 }
 
-// Muscat is the catalogue's site as the brief gives it.
+// Muscat is the site of the catalogue, with the sizes that its users state.
 func Muscat() Size {
 	return Size{Name: "muscat", Pools: 5, PoolSize: 10, Spare: 2, DataCentres: 4, RackSize: 4, Cores: 16, MemoryMB: 32 << 10, Teams: 4, Utilisation: 0.6,
 		MeanRunTime: 20 * time.Minute, EstimateError: 4, Maintenance: 5 * time.Minute, Weights: fleet.Weights{RollOut: 1, Buffer: 1, Moves: 0.25}}
 }
 
-// Norrskalv is the seismograph network's site.
+// Norrskalv is the site of the seismograph network.
 func Norrskalv() Size {
 	s := Muscat()
 	s.Name, s.Cores, s.MemoryMB = "norrskalv", 64, 256<<10
@@ -44,7 +45,7 @@
 	return s
 }
 
-// TwoYears is the size of letter 1.
+// TwoYears is the size that the users expect of the catalogue's site in two years; see docs/CAPACITY.md.
 func TwoYears() Size {
 	s := Muscat()
 	s.Name, s.Pools, s.PoolSize, s.Spare, s.DataCentres, s.Teams, s.Cores = "two-years", 22, 36, 4, 8, 350, 32
@@ -52,7 +53,7 @@
 	return s
 }
 
-// Sizes returns all sizes.
+// Sizes returns the sizes that the benchmarks measure.
 func Sizes() []Size { return []Size{Muscat(), Norrskalv(), TwoYears()} }
 
 func poolName(i int) string        { return fmt.Sprintf("pool-%02d", i) }
@@ -87,17 +88,17 @@
 	return c
 }
 
-// quota gives every team twice its even part of the cores.
+// quota returns twice a team's equal share of the cores, but at least the cores of one instance.
 func (s Size) quota() int { return max(s.Cores, 2*s.Pools*s.PoolSize*s.Cores/s.Teams) }
 
-// Tables returns the tables of the fleet before any job.
+// Tables returns the tables of the fleet before the first job.
 func (s Size) Tables() *fleet.Tables {
 	t := fleet.New()
 	t.Apply(0, fleet.Record{ID: "configure", Configure: &fleet.Configure{Configuration: s.Configuration()}})
-	var seen []fleet.Observation
+	var observed []fleet.Observation
 	for i := range s.Pools * s.PoolSize {
-		seen = append(seen, fleet.Observation{ID: instanceName(i), DataCentre: s.centre(i), Rack: s.rack(i), Address: "10.0.0.1:80", Cores: s.Cores, MemoryMB: s.MemoryMB})
+		observed = append(observed, fleet.Observation{ID: instanceName(i), DataCentre: s.centre(i), Rack: s.rack(i), Address: "10.0.0.1:80", Cores: s.Cores, MemoryMB: s.MemoryMB})
 	}
-	t.Apply(1, fleet.Record{ID: "observe", Observe: &fleet.Observe{Instances: seen}})
+	t.Apply(1, fleet.Record{ID: "observe", Observe: &fleet.Observe{Instances: observed}})
 	return t
 }
--- a/internal/drive/usage.go
+++ b/internal/drive/usage.go
@@ -10,21 +10,21 @@
 	"rackstep.dev/place"
 )
 
-// usageLag is how old the usage is that the decisions see.
+// usageLag is the age of the usage reports that decisions are based on.
 const usageLag = 30 * time.Second
 
-// trueCores returns what a job with the declared cores uses; declared sizes are wrong by up to Wrong times either way, and
-// right on average.
+// trueCores returns the cores that a job with the declared cores uses. The ratio lies within a factor of EstimateError in
+// either direction, scaled so that declared sizes are right on average.
 func (r *simulation) trueCores(declared int) float64 {
 	if r.size.EstimateError <= 1 {
 		return float64(declared)
 	}
 	mean := (r.size.EstimateError - 1/r.size.EstimateError) / (2 * math.Log(r.size.EstimateError))
-	wrong := math.Pow(r.size.EstimateError, 2*r.random.Float64()-1) / mean
-	return min(float64(r.size.Cores), float64(declared)*wrong)
+	ratio := math.Pow(r.size.EstimateError, 2*r.random.Float64()-1) / mean
+	return min(float64(r.size.Cores), float64(declared)*ratio)
 }
 
-// throttledCores returns the cores that the job would take now, within its throttle.
+// throttledCores returns the cores that the job demands now, capped by its throttle.
 func (w *simJob) throttledCores(j *fleet.Job) float64 {
 	if j.Limit > 0 {
 		return min(w.cores, float64(j.Limit))
@@ -32,12 +32,13 @@
 	return w.cores
 }
 
-// runJobs lets every running job get on by one tick; where too much is in use all are slowed alike.
+// runJobs advances every running job by one tick. If the demand on an instance exceeds its cores, all its jobs slow down by
+// the same factor.
 func (r *simulation) runJobs() {
-	taken := make(map[string]float64)
+	demand := make(map[string]float64)
 	for id, j := range r.tables.Jobs.All {
 		if w := r.jobs[id]; w != nil && j.State == fleet.JobRunning {
-			taken[j.Instance] += w.throttledCores(j)
+			demand[j.Instance] += w.throttledCores(j)
 		}
 	}
 	for id, j := range r.tables.Jobs.All {
@@ -45,7 +46,7 @@
 		if w == nil || j.State != fleet.JobRunning {
 			continue
 		}
-		rate := min(1, float64(r.size.Cores)/taken[j.Instance])
+		rate := min(1, float64(r.size.Cores)/demand[j.Instance])
 		r.result.OverloadSeconds += (1 - rate) * tick.Seconds()
 		rate *= w.throttledCores(j) / w.cores
 		w.remaining -= time.Duration(rate * float64(tick))
@@ -55,7 +56,8 @@
 	}
 }
 
-// applyUsage brings charges up to what was seen and relieves instances on which too much is in use.
+// applyUsage updates the resources charged to jobs from reported usage, and relieves overloaded instances by throttles and
+// yields.
 func (r *simulation) applyUsage() {
 	if r.policy.Declared || r.policy.Baseline {
 		return
--- a/internal/trial/claims_bench_test.go
+++ b/internal/trial/claims_bench_test.go
@@ -14,15 +14,15 @@
 	"rackstep.dev/serve"
 )
 
-// Sizes of BenchmarkClaims.
+// Settings of BenchmarkClaims.
 const (
 	claimsPerSecond  = 2000
-	claimsDuration       = 5 * time.Second
+	claimsDuration   = 5 * time.Second
 	appendsPerSecond = 300
 )
 
-// BenchmarkClaims sends requests that are not to be repeated to a whole site, twice each in one case of twenty, and counts
-// what became of them and what that cost the log. Callers, entries, targets and the log share the process.
+// BenchmarkClaims sends requests that must not be repeated to a whole site, one in twenty as two copies, and reports their
+// outcomes and latency and the appends to the log. Callers, entries, targets and the log share the process.
 func BenchmarkClaims(b *testing.B) {
 	for _, rate := range [...]int{200, 1000, claimsPerSecond} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
@@ -39,56 +39,56 @@
 	defer cancel()
 	site := startPublished(ctx, b, Spec{DataCentres: 4, EntriesEach: 2, Services: 1, RunnersEach: 12, Cores: 1, RackSize: 4})
 	defer site.Stop()
-	time.Sleep(2 * time.Second) // until all links are up and the owners agree
+	time.Sleep(2 * time.Second) // until all links are up and the entries agree on the owners
 	site.Platform.SetFaults(standin.Faults{AppendsPerSecond: appendsPerSecond})
 	before, _ := site.Platform.Appends()
 	load := &Load{Site: site, Work: 5 * time.Millisecond}
-	used := processorTime()
+	cpuTime := processorTime()
 	sendClaims(load, rate)
-	used = processorTime() - used
+	cpuTime = processorTime() - cpuTime
 	after, refused := site.Platform.Appends()
 	reportClaims(b, site, load, float64(rate)*claimsDuration.Seconds())
 	b.ReportMetric(float64(after-before)/claimsDuration.Seconds(), "appends/s")
 	b.ReportMetric(float64(refused), "appends-refused")
-	b.ReportMetric(used.Seconds()/claimsDuration.Seconds(), "cores")
+	b.ReportMetric(cpuTime.Seconds()/claimsDuration.Seconds(), "cores")
 }
 
-// sendClaims sends the requests at the rate, whatever becomes of those before, and waits for all.
+// sendClaims sends requests at a fixed rate without waiting for earlier replies, then waits for all of them.
 func sendClaims(load *Load, rate int) {
 	callers := load.Site.Callers()
-	var all sync.WaitGroup
-	begin := time.Now()
+	var wg sync.WaitGroup
+	start := time.Now()
 	for i := range int(float64(rate) * claimsDuration.Seconds()) {
-		time.Sleep(time.Until(begin.Add(time.Duration(i) * time.Second / time.Duration(rate))))
+		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(rate))))
 		copies := 1
 		if i%20 == 0 {
 			copies = 2
 		}
 		notAfter := time.Now().Add(time.Minute)
 		for k := range copies {
-			all.Go(func() {
+			wg.Go(func() {
 				load.record(load.Send(callers[(i+k)%len(callers)], load.onceRequest(ServiceName(0), fmt.Sprint("c", i), notAfter)))
 			})
 		}
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func reportClaims(b *testing.B, site *Site, load *Load, wanted float64) {
-	told := load.Replies()
-	if broken := site.Evaluate(told).Violations(); len(broken) > 0 {
-		b.Fatal(broken[0])
+func reportClaims(b *testing.B, site *Site, load *Load, sent float64) {
+	replies := load.Replies()
+	if violations := site.Evaluate(replies).Violations(); len(violations) > 0 {
+		b.Fatal(violations[0])
 	}
 	whole := make(map[string]bool)
-	var times []time.Duration
-	for _, t := range told {
+	var latencies []time.Duration
+	for _, t := range replies {
 		if t.Outcome == serve.OutcomeWhole {
 			whole[t.Mark] = true
-			times = append(times, t.Latency)
+			latencies = append(latencies, t.Latency)
 		}
 	}
-	slices.Sort(times)
-	b.ReportMetric(100*float64(len(whole))/wanted, "whole-%")
-	b.ReportMetric(float64(times[len(times)/2])/1e6, "p50-ms")
-	b.ReportMetric(float64(times[len(times)*99/100])/1e6, "p99-ms")
+	slices.Sort(latencies)
+	b.ReportMetric(100*float64(len(whole))/sent, "whole-%")
+	b.ReportMetric(float64(latencies[len(latencies)/2])/1e6, "p50-ms")
+	b.ReportMetric(float64(latencies[len(latencies)*99/100])/1e6, "p99-ms")
 }
--- a/internal/trial/doc.go
+++ b/internal/trial/doc.go
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package trial runs a whole site in one process on loopback addresses: the
-stand-in platform, targets, entries and callers.
+Package trial runs a whole site in one process, on loopback addresses or an
+in-memory network: the stand-in platform, targets, entries and callers.
 
-A Site is the machinery, with a switch for every cut:
+A Site starts the components and can partition the network between them:
 
-	site, err := trial.Start(ctx, trial.Spec{DataCentres: 4, EntriesEach: 2, Services: 2, RunnersEach: 8})
+	site, err := trial.Start(trial.Spec{DataCentres: 4, EntriesEach: 2, Services: 2, RunnersEach: 8}, nil)
 	defer site.Stop()
 
-Callers send requests to it and remember what each was told. Compared with
-what the targets saw, that shows whether a promise was broken.
+A Load sends requests and records the reply to each. Site.Evaluate compares the
+replies with the requests that the targets received and reports every violated
+guarantee.
 */
 package trial
--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// With the race detector the runtime of Go 1.26 fails when a timer's channel is selected on a fake clock
-// (a nil bubble in runtime.(*timer).maybeRunChan), so these tests run without it.
+// These tests run without the race detector: with it, the runtime of Go 1.26 crashes when a timer's channel is selected on
+// a fake clock (a nil bubble in runtime.(*timer).maybeRunChan).
 
 package trial
 
@@ -23,25 +23,25 @@
 	"rackstep.dev/serve"
 )
 
-// fleetCell is one run of the whole scenario with a fault at the first occurrence of one step.
+// fleetCell is one run of the scenario with a fault at the first occurrence of one step.
 type fleetCell struct {
-	site  *Site
-	step  string
-	after bool
-	fault fleetFault
-	mu    sync.Mutex
-	armed bool
-	injected   bool
-	work  sync.WaitGroup
+	site     *Site
+	step     string
+	after    bool
+	fault    fleetFault
+	mu       sync.Mutex
+	armed    bool
+	injected bool
+	work     sync.WaitGroup
 }
 
-// fleetFault is thrown once; it returns whether the call fails.
+// fleetFault is injected once; inject returns whether the call fails.
 type fleetFault struct {
-	name  string
+	name   string
 	inject func(c *fleetCell, call standin.Call) bool
 }
 
-// fleetSteps are the records and calls by which the fleet changes; each is a step of the matrix.
+// fleetSteps returns the steps of the matrix: the kinds of records and calls that change the fleet.
 func fleetSteps() []string {
 	return []string{
 		"configure", "join", "observe", "propose", "order", "draining", "drained", "acting", "done",
@@ -49,7 +49,7 @@
 	}
 }
 
-// matchesStep says whether the call is the step, or one of its records is.
+// matchesStep reports whether the call, or one of the records that it appends, is of the step's kind.
 func matchesStep(call standin.Call, step string) bool {
 	if call.Kind != "append" {
 		return call.Kind == step
@@ -159,24 +159,24 @@
 	}
 }
 
-// restart crashes the entry and starts another life of it a little later.
+// restart crashes the entry and starts it again 2 s later.
 func (c *fleetCell) restart(name string) {
 	centre := c.site.centreOf(name)
 	c.site.CrashEntry(name)
 	c.work.Go(func() {
 		time.Sleep(2 * time.Second)
-		_ = c.site.StartEntry(name, centre) // the scenario's end shows an entry that is missing
+		_ = c.site.StartEntry(name, centre) // entryViolations reports an entry that is missing
 	})
 }
 
-// raceOperator publishes, plans, confirms, pauses and resumes beside the scenario's own operator.
+// raceOperator publishes a configuration and controls a plan concurrently with the scenario's operator.
 func (c *fleetCell) raceOperator() {
 	ctx, cancel := context.WithTimeout(context.Background(), outage)
 	defer cancel()
 	op := c.site.Operator(OperatorToken)
 	conf := c.site.Spec.Configuration()
 	conf.Weights.Moves = 7
-	_, _ = op.Apply(ctx, admin.Apply{Base: 1, Configuration: conf}) // either operator may win
+	_, _ = op.Apply(ctx, admin.Apply{Base: 1, Configuration: conf}) // either operator's version may be accepted
 	p, err := op.Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
 	if err != nil {
 		return
@@ -196,7 +196,8 @@
 	return hit && c.fault.inject(c, call)
 }
 
-// scenario is what an operator and a caller do; every call is repeated until its outcome is known.
+// scenario performs the calls of an operator and of a job's owner. It retries each call until the outcome is known and
+// reports whether its second configuration was accepted.
 func (c *fleetCell) scenario(ctx context.Context) (applied bool, err error) {
 	if err := c.site.Publish(ctx); err != nil {
 		return false, err
@@ -207,7 +208,7 @@
 			Repeatable: i == 1, Command: "run 8s"}
 		c.retry(ctx, func() error { return c.job(ctx, "POST", "", spec) })
 	}
-	time.Sleep(2 * time.Second) // both workers are full then
+	time.Sleep(2 * time.Second) // by then both workers are full
 	urgent := fleet.JobSpec{ID: "urgent", Pool: BatchPool, Cores: 4, RunTime: fleet.Duration(2 * time.Second), Urgent: true, Command: "run 2s"}
 	c.retry(ctx, func() error { return c.job(ctx, "POST", "", urgent) })
 	time.Sleep(3 * time.Second)
@@ -222,12 +223,12 @@
 		return applied, err
 	}
 	if !applied {
-		return applied, nil // another operator won, so the spare pool is not there
+		return applied, nil // the other operator's configuration has no spare pool
 	}
 	return applied, c.runPlan(ctx, fleet.Intent{Kind: fleet.IntentMove, Pool: "spare", Instances: []string{RunnerName(0, 3)}})
 }
 
-// runOverusingJob runs two jobs on one worker, of which the first uses more than it declares.
+// runOverusingJob runs two jobs on one worker; the first uses more cores than it declares.
 func (c *fleetCell) runOverusingJob(ctx context.Context) {
 	for _, command := range [...]string{"run 6s use 3", "run 6s"} {
 		spec := fleet.JobSpec{ID: "greedy-" + fmt.Sprint(len(command)), Pool: BatchPool, Cores: 2, MemoryMB: 10, RunTime: fleet.Duration(6 * time.Second), Repeatable: true, Command: command}
@@ -236,7 +237,8 @@
 	time.Sleep(7 * time.Second)
 }
 
-// retry repeats the call while its outcome is unknown or nobody answers; it says whether it was accepted.
+// retry repeats the call until it is accepted, refused with status 409, or the context is done. It reports whether the call
+// was accepted.
 func (c *fleetCell) retry(ctx context.Context, call func() error) bool {
 	for {
 		err := call()
@@ -253,18 +255,18 @@
 	return t.callJob(ctx, method, path, spec)
 }
 
-// runPlan plans and confirms until a plan runs, and waits for its end.
+// runPlan makes and confirms plans until one runs, and waits until it is done.
 func (c *fleetCell) runPlan(ctx context.Context, intent fleet.Intent) error {
 	for ctx.Err() == nil {
 		op := c.site.Operator(OperatorToken)
 		p, err := op.Plan(ctx, intent)
 		if err == nil {
 			if _, err = op.Order(ctx, p.ID, fleet.OrderConfirm); err == nil {
-				return c.site.AwaitPlan(ctx, p.ID, fleet.PlanDone) // other entries may not have read it yet
+				return c.site.AwaitPlan(ctx, p.ID, fleet.PlanDone) // the plan may not be visible at other entries yet
 			}
-			// An unknown outcome is looked up before a new plan is made.
+			// If the outcome of the confirmation is unknown, look the plan up before making a new one.
 			time.Sleep(12 * time.Second)
-			if now, lookErr := c.site.Operator(OperatorToken).GetPlan(ctx, p.ID); lookErr == nil && now.State != fleet.PlanProposed {
+			if current, lookErr := c.site.Operator(OperatorToken).GetPlan(ctx, p.ID); lookErr == nil && current.State != fleet.PlanProposed {
 				return c.site.AwaitPlan(ctx, p.ID, fleet.PlanDone)
 			}
 		}
@@ -273,7 +275,7 @@
 	return ctx.Err()
 }
 
-func runFleetCell(step string, after bool, fault fleetFault) (result string, wrong []string) {
+func runFleetCell(step string, after bool, fault fleetFault) (result string, violations []string) {
 	c := &fleetCell{step: step, after: after, fault: fault, armed: true}
 	spec := smallSpec()
 	spec.Network = new(memnet.Network)
@@ -291,55 +293,55 @@
 	loading, stop := context.WithCancel(ctx)
 	var loads sync.WaitGroup
 	loads.Go(func() { load.Run(loading) })
-	begin := time.Now()
+	start := time.Now()
 	applied, err := c.scenario(ctx)
-	took := time.Since(begin)
+	took := time.Since(start)
 	time.Sleep(outage + 10*time.Second)
 	stop()
 	loads.Wait()
 	if err != nil {
-		wrong = append(wrong, fmt.Sprintf("the scenario did not end: %v", err))
+		violations = append(violations, fmt.Sprintf("the scenario did not complete: %v", err))
 	}
-	wrong = append(wrong, c.violations(ctx, applied, load.Replies())...)
+	violations = append(violations, c.violations(ctx, applied, load.Replies())...)
 	h := site.Replay()
-	return fmt.Sprintf("%s, %d requests, moves %d, jobs %v", took.Round(time.Second), len(load.Replies()), h.Moves, h.Jobs), wrong
+	return fmt.Sprintf("%s, %d requests, moves %d, jobs %v", took.Round(time.Second), len(load.Replies()), h.Moves, h.Jobs), violations
 }
 
-// violations lists the promises that the run shows broken.
-func (c *fleetCell) violations(ctx context.Context, applied bool, told []Reply) []string {
-	var wrong []string
-	for _, b := range c.site.Evaluate(told).Violations() {
+// violations lists the guarantees that the run shows to be violated.
+func (c *fleetCell) violations(ctx context.Context, applied bool, replies []Reply) []string {
+	var out []string
+	for _, b := range c.site.Evaluate(replies).Violations() {
 		crashed := strings.Contains(c.fault.name, "crash") || c.fault.name == "all-replaced"
 		if crashed && strings.Contains(b, "without an answer") {
 			continue // an entry that crashed can't answer
 		}
-		wrong = append(wrong, b)
+		out = append(out, b)
 	}
 	h := c.site.Replay()
 	for budget, m := range h.MinMargin {
 		if m < 0 {
-			wrong = append(wrong, fmt.Sprintf("a take-out broke the budget of %s", budget))
+			out = append(out, fmt.Sprintf("a drain exceeded the budget of %s", budget))
 		}
 	}
 	for _, id := range h.RanTwice {
-		wrong = append(wrong, "job "+id+" ran twice")
+		out = append(out, "job "+id+" ran twice")
 	}
-	wrong = append(wrong, c.site.Platform.Cuts()...)
+	out = append(out, c.site.Platform.Cuts()...)
 	if !c.injected {
-		wrong = append(wrong, "the step was never reached")
+		out = append(out, "the step was never reached")
 	}
-	return append(wrong, c.finalViolations(ctx, applied)...)
+	return append(out, c.finalViolations(ctx, applied)...)
 }
 
-// finalViolations looks at every entry's own state after everything has healed.
-func (c *fleetCell) finalViolations(ctx context.Context, applied bool) (wrong []string) {
+// finalViolations checks the state of every entry after all faults are over.
+func (c *fleetCell) finalViolations(ctx context.Context, applied bool) (out []string) {
 	if !c.converged(ctx) {
-		wrong = append(wrong, "entries differ")
+		out = append(out, "entries differ in offset, version or number of members")
 	}
 	for _, name := range c.entryNames() {
-		wrong = append(wrong, c.entryViolations(ctx, name, applied)...)
+		out = append(out, c.entryViolations(ctx, name, applied)...)
 	}
-	return wrong
+	return out
 }
 
 func (c *fleetCell) entryNames() (names []string) {
@@ -351,7 +353,8 @@
 	return names
 }
 
-// converged says whether all entries come to the same offset, version and members; a record may be on its way at any one look.
+// converged reports whether all entries reach the same offset, version and number of members. It retries for 10 s, since a
+// record may be in transit at any single check.
 func (c *fleetCell) converged(ctx context.Context) bool {
 	for range 20 {
 		seen := make(map[string]bool)
@@ -367,34 +370,35 @@
 	return false
 }
 
-func (c *fleetCell) entryViolations(ctx context.Context, name string, applied bool) (wrong []string) {
+func (c *fleetCell) entryViolations(ctx context.Context, name string, applied bool) (out []string) {
 	op := c.site.OperatorOf(name, OperatorToken)
 	st, err := op.Status(ctx)
 	if err != nil {
-		return []string{fmt.Sprintf("entry %s does not answer: %v", name, err)}
+		return []string{fmt.Sprintf("entry %s failed to report its status: %v", name, err)}
 	}
 	conf, err := op.Configuration(ctx)
 	if err != nil || (applied && conf.Configuration.Pool("spare") == nil) {
-		wrong = append(wrong, fmt.Sprintf("entry %s does not follow the accepted configuration", name))
+		out = append(out, fmt.Sprintf("entry %s has not applied the accepted configuration", name))
 	}
 	for _, s := range []fleet.JobState{fleet.JobPending, fleet.JobStarting, fleet.JobRunning, fleet.JobCancelling} {
 		if n := st.Jobs[s]; n > 0 {
-			wrong = append(wrong, fmt.Sprintf("entry %s still has %d jobs %s", name, n, s))
+			out = append(out, fmt.Sprintf("entry %s still has %d jobs in state %s", name, n, s))
 		}
 	}
 	list, err := op.Instances(ctx)
 	if err != nil {
-		wrong = append(wrong, fmt.Sprintf("entry %s does not list instances: %v", name, err))
+		out = append(out, fmt.Sprintf("entry %s failed to list instances: %v", name, err))
 	}
 	for _, in := range list {
 		if !in.Available() {
-			wrong = append(wrong, fmt.Sprintf("instance %s is %s (down %t) at entry %s", in.ID, in.State, in.Down, name))
+			out = append(out, fmt.Sprintf("instance %s is %s (down %t) at entry %s", in.ID, in.State, in.Down, name))
 		}
 	}
-	return wrong
+	return out
 }
 
-// TestFleetFaultMatrix throws every fault before and after every step by which the fleet changes.
+// TestFleetFaultMatrix guards against violated budgets, jobs that run twice and entries that diverge when a fault occurs
+// before or after any step that changes the fleet.
 func TestFleetFaultMatrix(t *testing.T) {
 	var cells []matrixCell
 	for _, step := range fleetSteps() {
--- a/internal/trial/leader_test.go
+++ b/internal/trial/leader_test.go
@@ -15,7 +15,8 @@
 	"rackstep.dev/route"
 )
 
-// TestJobsAreSoonPlacedWhenTheirLeaderDies crashes the entry that places jobs, which others miss only after half a minute.
+// TestJobsAreSoonPlacedWhenTheirLeaderDies guards against jobs that stay queued after the entry that places jobs
+// crashes. The other entries notice the crash only after half a minute, so the next in line must place the job before that.
 func TestJobsAreSoonPlacedWhenTheirLeaderDies(t *testing.T) {
 	for _, urgent := range [...]bool{false, true} {
 		inBubble(t, func(t *testing.T) {
@@ -35,13 +36,14 @@
 			begin := time.Now()
 			c.Assert(s.Await(ctx, func() bool { return jobsByID(ctx, c, s)["job"].State == fleet.JobRunning }), quicktest.IsNil)
 			took := time.Since(begin)
-			t.Logf("urgent %t: it ran after %s of the fake clock", urgent, took)
+			t.Logf("urgent %t: the job ran after %s of fake time", urgent, took)
 			c.Assert(took <= 3500*time.Millisecond, quicktest.IsTrue)
 		})
 	}
 }
 
-// TestJobsOutliveTheEntriesOfTheirDataCentre crashes the entries that renew the leases; those elsewhere take over in time.
+// TestJobsOutliveTheEntriesOfTheirDataCentre guards against a job that is lost or started again when the entries that renew
+// its lease crash. Entries of the other data centre must take over before the lease expires.
 func TestJobsOutliveTheEntriesOfTheirDataCentre(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -53,7 +55,7 @@
 		job := fleet.JobSpec{ID: "job", Pool: BatchPool, DataCentres: []string{Centre(0)}, Cores: 2, Command: "run 200s"}
 		c.Assert(run.submit(ctx, job), quicktest.IsNil)
 		c.Assert(s.Await(ctx, func() bool { return jobsByID(ctx, c, s)["job"].State == fleet.JobRunning }), quicktest.IsNil)
-		time.Sleep(100 * time.Second) // so that calls wait for long
+		time.Sleep(100 * time.Second) // so that calls are in a long wait
 		for i := range spec.EntriesEach {
 			s.CrashEntry(EntryName(0, i))
 		}
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -17,48 +17,48 @@
 	"rackstep.dev/serve"
 )
 
-// Reply is what a caller was told of one request.
+// Reply is the reply that a caller received to one request.
 type Reply struct {
 	Mark       string
 	Repeatable bool
 	Outcome    serve.Outcome
 	Reason     serve.Reason
 	Status     int
-	// Mismatched says that the answer belongs to another request.
+	// Mismatched reports that the answer belongs to another request.
 	Mismatched bool
-	// NoAnswer says that the connection ended without an answer.
+	// NoAnswer reports that the connection ended without a complete answer.
 	NoAnswer bool
-	Latency time.Duration
+	Latency  time.Duration
 }
 
-// Load sends requests to a site and remembers what became of each.
+// Load sends requests to a site and records the replies.
 type Load struct {
 	Site *Site
-	// Callers is the number of requests under way at once.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Work is the time of a request at its target.
+	// Work is the processing time of a request at its target.
 	Work time.Duration
-	// Pause is the time between two requests of one caller.
+	// Pause is the delay between two requests of one caller.
 	Pause time.Duration
 
-	mu   sync.Mutex
-	replies []Reply
+	mu       sync.Mutex
+	replies  []Reply
 	lastMark atomic.Int64
 }
 
-// Run sends requests until the context ends; those under way end first.
+// Run sends requests until the context is done, then waits for the replies to those in flight.
 func (l *Load) Run(ctx context.Context) {
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range l.Callers {
 		random := rand.New(rand.NewPCG(1, uint64(i)))
-		work.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 				l.sendNext(random)
 				sleep(ctx, l.Pause)
 			}
 		})
 	}
-	work.Wait()
+	wg.Wait()
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// sendNext sends one request; every tenth must not be repeated, and half of those are sent twice at once.
+// sendNext sends a request. One in ten must not be repeated, and half of those are sent as two concurrent copies.
 func (l *Load) sendNext(random *rand.Rand) {
 	mark := fmt.Sprintf("m%d", l.lastMark.Add(1))
 	service := ServiceName(random.IntN(l.Site.Spec.Services))
@@ -85,18 +85,18 @@
 	notAfter := time.Now().Add(30 * time.Second)
 	copies := 1 + random.IntN(2)
 	first, second := entry(), entry()
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range copies {
 		to := first
 		if i > 0 {
 			to = second
 		}
-		work.Go(func() { l.record(l.Send(to, l.onceRequest(service, mark, notAfter))) })
+		wg.Go(func() { l.record(l.Send(to, l.onceRequest(service, mark, notAfter))) })
 	}
-	work.Wait()
+	wg.Wait()
 }
 
-// Request is what a caller sends.
+// Request is a request to a service; Mark identifies it at the targets, also when it is sent several times.
 type Request struct {
 	Service, Mark string
 	Repeatable    bool
@@ -120,7 +120,7 @@
 	return r
 }
 
-// Send sends one request to the entry and returns what the caller was told.
+// Send sends one request to the entry and returns the reply.
 func (l *Load) Send(entry string, r Request) (t Reply) {
 	t = Reply{Mark: r.Mark, Repeatable: r.Repeatable}
 	start := time.Now()
@@ -177,7 +177,7 @@
 	l.replies = append(l.replies, t)
 }
 
-// Reply returns what callers were told so far.
+// Replies returns the replies recorded so far.
 func (l *Load) Replies() []Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/trial/matrix_test.go
+++ b/internal/trial/matrix_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// With the race detector the runtime of Go 1.26 fails when a timer's channel is selected on a fake clock
-// (a nil bubble in runtime.(*timer).maybeRunChan), so these tests run without it.
+// These tests run without the race detector: with it, the runtime of Go 1.26 crashes when a timer's channel is selected on
+// a fake clock (a nil bubble in runtime.(*timer).maybeRunChan).
 
 package trial
 
@@ -15,41 +15,41 @@
 	"testing/synctest"
 )
 
-// matrixCell is one place of a fault matrix; run returns what happened and what was wrong with it.
+// matrixCell is one cell of a fault matrix. Its run function returns a summary and the violations.
 type matrixCell struct {
 	name string
-	run  func() (result string, wrong []string)
+	run  func() (result string, violations []string)
 }
 
-// maxConcurrentCells bounds the sites that run beside each other.
+// maxConcurrentCells limits the sites that run concurrently.
 const maxConcurrentCells = 24
 
-// runMatrix runs the cells on one fake clock, prints the table of their results, and fails for each that was wrong.
+// runMatrix runs the cells on one fake clock, logs the table of results, and reports an error for each cell with violations.
 func runMatrix(t *testing.T, cells []matrixCell) {
-	results, wrongs := make([]string, len(cells)), make([][]string, len(cells))
+	results, violations := make([]string, len(cells)), make([][]string, len(cells))
 	inBubble(t, func(*testing.T) {
-		var work sync.WaitGroup
-		places := make(chan struct{}, maxConcurrentCells)
+		var wg sync.WaitGroup
+		slots := make(chan struct{}, maxConcurrentCells)
 		for i := range cells {
-			places <- struct{}{}
-			work.Go(func() {
-				defer func() { <-places }()
-				results[i], wrongs[i] = cells[i].run()
+			slots <- struct{}{}
+			wg.Go(func() {
+				defer func() { <-slots }()
+				results[i], violations[i] = cells[i].run()
 			})
 		}
-		work.Wait()
+		wg.Wait()
 	})
 	for i, cl := range cells {
 		t.Logf("%-58s %s", cl.name, results[i])
-		if len(wrongs[i]) > 0 {
-			t.Errorf("%s: %s", cl.name, strings.Join(wrongs[i], "; "))
+		if len(violations[i]) > 0 {
+			t.Errorf("%s: %s", cl.name, strings.Join(violations[i], "; "))
 		}
 	}
 }
 
 // inBubble runs the test on fake time.
 //
-// yamux keeps timers in a pool of the process. Two collections empty it, so that none of another test's clock is left.
+// yamux keeps timers in a sync.Pool. Two garbage collections empty it, so that no timer of an earlier test's clock is reused.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	runtime.GC()
 	runtime.GC()
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -20,34 +20,34 @@
 	"rackstep.dev/platform"
 )
 
-// Sizes and times of a trial on the users' platform.
+// Sizes and timeouts of OnPlatform.
 const (
-	platformEntries = 3
-	platformWorkers = 4
-	platformJobs    = 12
-	platformHost    = "catalogue.example"
-	platformSubmitTimeout   = 20 * time.Second
-	platformFinishTimeout     = 40 * time.Second
-	platformPollInterval    = 100 * time.Millisecond
+	platformEntries       = 3
+	platformWorkers       = 4
+	platformJobs          = 12
+	platformHost          = "catalogue.example"
+	platformSubmitTimeout = 20 * time.Second
+	platformFinishTimeout = 40 * time.Second
+	platformPollInterval  = 100 * time.Millisecond
 )
 
-// platformNode is an entry of the trial, which can be cut off from everything.
+// platformNode is an entry whose network connections can be cut.
 type platformNode struct {
 	entry *entry.Node
 	ip    string
 
-	mu    sync.Mutex
-	isolated   bool
-	conns []net.Conn
+	mu       sync.Mutex
+	isolated bool
+	conns    []net.Conn
 }
 
-// dial opens a connection that ends when the entry is cut off.
+// dial returns a dialer whose connections are closed when the entry is isolated.
 func (n *platformNode) dial(network *memnet.Network) platform.Dialer {
 	return func(ctx context.Context, kind, address string) (net.Conn, error) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if n.isolated {
-			return nil, fmt.Errorf("%s is cut off", n.ip)
+			return nil, fmt.Errorf("%s is isolated", n.ip)
 		}
 		c, err := network.Dial(ctx, kind, address)
 		if err == nil {
@@ -57,18 +57,18 @@
 	}
 }
 
-// isolate ends all that the entry has open, and lets it open nothing more.
+// isolate closes the entry's connections and rejects new ones.
 func (n *platformNode) isolate() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.isolated = true
 	for _, c := range n.conns {
-		_ = c.Close() // it may have ended by itself
+		_ = c.Close() // it may be closed already
 	}
 }
 
-// OnPlatform runs entries on the stand-in of the users' platform: jobs are handed in and placed, the leader is cut off, and
-// all jobs finish. It tells what happens, and fails when a promise is broken.
+// OnPlatform runs entries on the stand-in of the users' platform. It submits jobs, isolates the leader and waits until all
+// jobs finish. It prints its progress and returns an error when a guarantee is violated.
 func OnPlatform(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -95,16 +95,16 @@
 	if err := submitJobs(ctx, client, nodes, out); err != nil {
 		return err
 	}
-	lost := leaderIndex(nodes)
-	nodes[lost].isolate()
-	fmt.Fprintf(out, "%s led and is cut off from everything\n", nodes[lost].entry.Settings.Entry)
-	if err := awaitJobs(ctx, client, nodes[(lost+1)%platformEntries], out); err != nil {
+	leader := leaderIndex(nodes)
+	nodes[leader].isolate()
+	fmt.Fprintf(out, "leader %s is isolated\n", nodes[leader].entry.Settings.Entry)
+	if err := awaitJobs(ctx, client, nodes[(leader+1)%platformEntries], out); err != nil {
 		return err
 	}
-	if wrong := p.Check(); len(wrong) > 0 {
-		return fmt.Errorf("a promise was broken: %s", strings.Join(wrong, "; "))
+	if violations := p.Check(); len(violations) > 0 {
+		return fmt.Errorf("guarantee violated: %s", strings.Join(violations, "; "))
 	}
-	fmt.Fprintf(out, "%d jobs done in %d runs; no task ran twice\n", platformJobs, len(p.Runs()))
+	fmt.Fprintf(out, "%d jobs finished in %d runs; no task ran twice\n", platformJobs, len(p.Runs()))
 	return nil
 }
 
@@ -116,11 +116,11 @@
 	s.Limits.Share = 0.4
 	s.Bounds = platform.Bounds{LeaseMillis: 6000, StopMillis: 400, StatusSeconds: 120, UpkeepSeconds: 2, MoveSeconds: 1.5}
 	n.entry = &entry.Node{Settings: s, Events: &event.Ring{Entry: s.Entry}, Listen: network.Listen, Dial: n.dial(network)}
-	go func() { _ = n.entry.Run(ctx) }() // it ends with the trial
+	go func() { _ = n.entry.Run(ctx) }() // it stops with the context
 	return n
 }
 
-// leaderIndex returns the index of the entry that leads, by what the first one has read.
+// leaderIndex returns the index of the first entry that considers itself the leader, or 0.
 func leaderIndex(nodes []*platformNode) int {
 	for i, n := range nodes {
 		if n.entry.Leads() {
@@ -148,38 +148,38 @@
 	return resp.StatusCode, string(b)
 }
 
-// submitJobs hands in the jobs, over all entries, as soon as they are taken.
+// submitJobs submits the jobs to the entries in turn and retries each until it is accepted.
 func submitJobs(ctx context.Context, client *http.Client, nodes []*platformNode, out io.Writer) error {
 	const body = `{"Spec":"part 4711","Steps":[{"Count":3,"Cpu":900,"MemMb":500,"EstimateMs":1000},{"Count":1,"Cpu":900,"MemMb":500,"DependsOn":[0]}]}`
-	end := time.Now().Add(platformSubmitTimeout)
+	deadline := time.Now().Add(platformSubmitTimeout)
 	for job := 0; job < platformJobs; {
 		status, text := callJob(ctx, client, nodes[job%platformEntries], http.MethodPost, job, body)
 		if status == http.StatusOK {
 			job++
 			continue
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("job %d is not taken: %d %s", job, status, text)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("job %d not accepted within %s: status %d: %s", job, platformSubmitTimeout, status, text)
 		}
 		time.Sleep(platformPollInterval)
 	}
-	fmt.Fprintf(out, "%d jobs of two steps handed in over %d entries\n", platformJobs, platformEntries)
+	fmt.Fprintf(out, "submitted %d jobs of two steps to %d entries\n", platformJobs, platformEntries)
 	return nil
 }
 
 func awaitJobs(ctx context.Context, client *http.Client, n *platformNode, out io.Writer) error {
-	end := time.Now().Add(platformFinishTimeout)
+	deadline := time.Now().Add(platformFinishTimeout)
 	for job := 0; job < platformJobs; {
 		status, text := callJob(ctx, client, n, http.MethodGet, job, "")
 		if strings.Contains(text, `"succeeded"`) {
 			job++
 			continue
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("job %d: %d %s", job, status, text)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("job %d not finished within %s: status %d: %s", job, platformFinishTimeout, status, text)
 		}
 		time.Sleep(platformPollInterval)
 	}
-	fmt.Fprintf(out, "%s answers for all of them\n", n.entry.Settings.Entry)
+	fmt.Fprintf(out, "%s reports that all of them succeeded\n", n.entry.Settings.Entry)
 	return nil
 }
--- a/internal/trial/platform_test.go
+++ b/internal/trial/platform_test.go
@@ -13,6 +13,8 @@
 	"github.com/frankban/quicktest"
 )
 
+// TestATrialOnThePlatformLosesItsLeaderAndNothingElse guards against jobs that are lost or run twice when the leader is
+// isolated from the store, the machines and its peers while jobs run.
 func TestATrialOnThePlatformLosesItsLeaderAndNothingElse(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -20,7 +22,7 @@
 		var out bytes.Buffer
 		err := OnPlatform(ctx, &out)
 		cancel()
-		time.Sleep(3 * time.Minute) // the entries stop as planned, and idle connections end
+		time.Sleep(3 * time.Minute) // let the entries stop gracefully and idle connections close
 		c.Assert(err, quicktest.IsNil, quicktest.Commentf("%s", &out))
 		c.Assert(out.String(), quicktest.Contains, "no task ran twice")
 	})
--- a/internal/trial/race_test.go
+++ b/internal/trial/race_test.go
@@ -14,7 +14,8 @@
 	"rackstep.dev/fleet"
 )
 
-// TestSiteOnLoopback runs a site on real sockets under the race detector; nothing in it depends on speed.
+// TestSiteOnLoopback runs a site on real sockets under the race detector, through a maintenance plan, a planned stop and a
+// crash. It checks no durations, since the detector slows the site down.
 func TestSiteOnLoopback(t *testing.T) {
 	c := quicktest.New(t)
 	spec := Spec{DataCentres: 2, EntriesEach: 2, Services: 1, RunnersEach: 4, Workers: 2, Cores: 4, MemoryMB: 1024, RackSize: 2, Spare: 1, RebootTime: 100 * time.Millisecond}
--- a/internal/trial/regions_test.go
+++ b/internal/trial/regions_test.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// regionsCutTime is how long the regions lose each other, regionsHealed the letter's bound for a configuration everywhere.
-	regionsCutTime    = 4 * time.Minute
+	// regionsCutTime is the duration of the partition. maxConvergenceTime is the required upper bound on the time until the
+	// configuration is in force at every entry.
+	regionsCutTime     = 4 * time.Minute
 	maxConvergenceTime = 12 * time.Second
 )
 
-// cutRegions cuts the second region off from the first one and from the platform, or joins it again.
+// cutRegions cuts or restores the network between the second region and both the first region and the platform.
 func (s *Site) cutRegions(cut bool) {
 	half := s.Spec.DataCentres / 2
 	for b := half; b < s.Spec.DataCentres; b++ {
@@ -34,7 +35,9 @@
 	}
 }
 
-// TestRegionsThatLoseEachOtherServeOnAndAgreeSoonAfter has two regions, of which only the first reaches the platform meanwhile.
+// TestRegionsThatLoseEachOtherServeOnAndAgreeSoonAfter partitions two regions, of which only the first reaches the platform.
+// It guards against a second region that stops serving or runs a request that it can't claim, and against one that misses
+// the configuration published meanwhile.
 func TestRegionsThatLoseEachOtherServeOnAndAgreeSoonAfter(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -58,16 +61,16 @@
 		whole := 0
 		const tries = 100
 		for i := range tries {
-			told := load.Send(s.CallerOf(EntryName(2+i%2, 0)), load.repeatableRequest(ServiceName(0), fmt.Sprint("cut", i), false))
-			load.record(told)
-			if told.Outcome == serve.OutcomeWhole {
+			reply := load.Send(s.CallerOf(EntryName(2+i%2, 0)), load.repeatableRequest(ServiceName(0), fmt.Sprint("cut", i), false))
+			load.record(reply)
+			if reply.Outcome == serve.OutcomeWhole {
 				whole++
 			}
 		}
 		c.Assert(whole, quicktest.Equals, tries)
-		single := load.Send(s.CallerOf(EntryName(2, 0)), load.onceRequest(ServiceName(0), "single", time.Now().Add(30*time.Second)))
-		load.record(single)
-		c.Assert(single.Outcome, quicktest.Equals, serve.OutcomeNotRun) // it can't be claimed there
+		once := load.Send(s.CallerOf(EntryName(2, 0)), load.onceRequest(ServiceName(0), "single", time.Now().Add(30*time.Second)))
+		load.record(once)
+		c.Assert(once.Outcome, quicktest.Equals, serve.OutcomeNotRun) // without the log the request can't be claimed
 		time.Sleep(regionsCutTime - time.Minute)
 		behind, err := s.OperatorOf(EntryName(3, 0), OperatorToken).Status(ctx)
 		c.Assert(err, quicktest.IsNil)
@@ -81,7 +84,7 @@
 			}), quicktest.IsNil)
 		}
 		took := time.Since(healed)
-		t.Logf("the configuration was in force everywhere %s after the regions met again", took.Round(time.Millisecond))
+		t.Logf("the configuration was in force at every entry %s after the partition healed", took.Round(time.Millisecond))
 		c.Assert(took <= maxConvergenceTime, quicktest.IsTrue)
 		stop()
 		<-done
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -12,25 +12,27 @@
 	"rackstep.dev/serve"
 )
 
-// RequestReport is what became of the requests of a trial, and which promises were broken.
+// RequestReport counts the outcomes of the requests of a trial and the violations of guarantees.
 type RequestReport struct {
 	Requests, Whole, NotRun, Unknown int
-	// NoAnswer are requests without an answer, Wrong those with another one's answer.
+	// NoAnswer counts requests without an answer, Mismatched those that got the answer to another request.
 	NoAnswer, Mismatched int
-	// RanTwice are requests not to be repeated that ran twice, Lied those that ran after "not run".
+	// RanTwice counts requests that ran twice although they must not be repeated, RanAfterNotRun those that ran although
+	// the caller was told "not run".
 	RanTwice, RanAfterNotRun int
-	// Reasons counts the problems by their reason.
+	// Reasons counts the requests that did not complete, by the reason in the reply.
 	Reasons map[serve.Reason]int
-	// OverSlots are targets that were sent more than their slots, OverConnections more than their connections.
+	// OverSlots counts targets that were sent more requests than they have slots, OverConnections targets that had more
+	// connections open than allowed.
 	OverSlots, OverConnections int
-	// DuringMaintenance are requests that reached an instance during its maintenance.
+	// DuringMaintenance counts requests that reached an instance during its maintenance.
 	DuringMaintenance int
-	// P50 and P99 are times of whole answers.
+	// P50 and P99 are latency quantiles of complete answers.
 	P50, P99 time.Duration
 }
 
-// Evaluate compares what callers were told with what the targets saw.
-func (s *Site) Evaluate(told []Reply) RequestReport {
+// Evaluate compares the replies with the requests that the targets received.
+func (s *Site) Evaluate(replies []Reply) RequestReport {
 	v := RequestReport{Reasons: make(map[serve.Reason]int)}
 	ran := make(map[string]int)
 	for _, t := range s.Targets {
@@ -49,7 +51,7 @@
 	var times []time.Duration
 	notRun := make(map[string]bool)
 	others := make(map[string]bool)
-	for _, t := range told {
+	for _, t := range replies {
 		v.count(t)
 		switch {
 		case t.Outcome == serve.OutcomeNotRun:
@@ -102,38 +104,38 @@
 	return times[min(len(times)-1, int(q*float64(len(times))))]
 }
 
-// Violations lists the promises that the verdict shows broken.
+// Violations lists the guarantees that the report shows to be violated.
 func (v RequestReport) Violations() []string {
-	var broken []string
+	var out []string
 	for _, x := range [...]struct {
 		n    int
-		what string
+		text string
 	}{
-		{v.NoAnswer, "requests ended without an answer"}, {v.Mismatched, "answers went to another request"},
-		{v.RanTwice, "requests not to be repeated ran twice"}, {v.RanAfterNotRun, "requests ran although the caller was told 'not run'"},
-		{v.OverSlots, "targets were sent more than their slots"}, {v.OverConnections, "targets had more than their connections"},
+		{v.NoAnswer, "requests ended without an answer"}, {v.Mismatched, "answers belonged to another request"},
+		{v.RanTwice, "requests that must not be repeated ran twice"}, {v.RanAfterNotRun, "requests ran although the caller was told 'not run'"},
+		{v.OverSlots, "targets were sent more requests than their slots"}, {v.OverConnections, "targets had more connections than allowed"},
 		{v.DuringMaintenance, "requests reached an instance during its maintenance"},
 	} {
 		if x.n > 0 {
-			broken = append(broken, fmt.Sprintf("%d %s", x.n, x.what))
+			out = append(out, fmt.Sprintf("%d %s", x.n, x.text))
 		}
 	}
-	return broken
+	return out
 }
 
-// History is what the fleet log says of a trial.
+// History summarises the fleet log of a trial.
 type History struct {
-	// MinMargin is the lowest margin that a take-out left to each budget that its instance counts for.
+	// MinMargin is, for each budget, the lowest spare capacity after one of its instances began to drain.
 	MinMargin map[string]int
-	// MaxOut is the most instances that were out at once, Moves the jobs displaced.
+	// MaxOut is the highest number of instances out of service at once, Moves the number of job moves.
 	MaxOut, Moves int
-	// RanTwice are jobs that were begun anew more than once and may not be.
+	// RanTwice lists jobs that must not be repeated but were started from the beginning more than once.
 	RanTwice []string
-	// Jobs are the jobs by their last state.
+	// Jobs counts the jobs by their last state.
 	Jobs map[fleet.JobState]int
 }
 
-// Replay folds the fleet log again and looks at every state on the way.
+// Replay applies the records of the fleet log to empty tables and summarises the states on the way.
 func (s *Site) Replay() History {
 	h := History{MinMargin: make(map[string]int), Jobs: make(map[fleet.JobState]int)}
 	t := fleet.New()
@@ -145,7 +147,7 @@
 		available := r.Advance != nil && r.Advance.To == fleet.StepDraining && t.Instances.Get(r.Advance.Instance).Available()
 		refused := t.Apply(int64(offset), r) != nil
 		if available && !refused {
-			h.recordTakeOut(t, t.Instances.Get(r.Advance.Instance))
+			h.recordDrain(t, t.Instances.Get(r.Advance.Instance))
 		}
 	}
 	starts := s.Platform.Starts()
@@ -159,9 +161,9 @@
 	return h
 }
 
-// recordTakeOut takes note of a state after an instance was taken out. Budgets that the instance does not count for are left alone:
-// instances that have died may have broken one before, and no take-out may wait for that elsewhere.
-func (h *History) recordTakeOut(t *fleet.Tables, taken *fleet.Instance) {
+// recordDrain updates the history after an instance began to drain. Only budgets that cover the instance are checked:
+// instances that died may have exceeded another budget before, and that must not block drains elsewhere.
+func (h *History) recordDrain(t *fleet.Tables, taken *fleet.Instance) {
 	out := 0
 	for _, in := range t.Instances.All {
 		if in.State != fleet.InstanceServing {
--- a/internal/trial/report_test.go
+++ b/internal/trial/report_test.go
@@ -10,8 +10,9 @@
 	"rackstep.dev/fleet"
 )
 
-// TestATakeOutIsJudgedByTheBudgetsOfItsInstance has a pool under its budget by a death, as cell "after order, instances-die" of
-// the fleet matrix does in one of some two hundred runs: worker 1 is maintained, worker 2 dies, then a runner is taken out.
+// TestATakeOutIsJudgedByTheBudgetsOfItsInstance guards against a false violation for a budget that doesn't cover the
+// drained instance. Worker 1 is in maintenance and worker 2 dies, which exceeds the budget of their pool; then a runner of another
+// pool begins to drain. The cell "after order, instances-die" of the fleet matrix hits this in about one of 200 runs.
 func TestATakeOutIsJudgedByTheBudgetsOfItsInstance(t *testing.T) {
 	c := quicktest.New(t)
 	tables := fleet.New()
@@ -24,8 +25,8 @@
 	put("runner-1", "service", fleet.InstanceServing, false)
 	taken := put("runner-2", "service", fleet.InstanceDraining, false)
 	h := History{MinMargin: make(map[string]int)}
-	h.recordTakeOut(tables, taken)
+	h.recordDrain(tables, taken)
 	c.Assert(h.MinMargin, quicktest.DeepEquals, map[string]int{"pool service": 0})
-	h.recordTakeOut(tables, died) // had it been taken out, its own budget would be broken
+	h.recordDrain(tables, died) // draining this one would exceed its own budget
 	c.Assert(h.MinMargin["pool batch"], quicktest.Equals, -1)
 }
--- a/internal/trial/request_bench_test.go
+++ b/internal/trial/request_bench_test.go
@@ -15,7 +15,7 @@
 	"rackstep.dev/serve"
 )
 
-// processorTime returns what this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -24,7 +24,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// startPublished starts a site on loopback and publishes its configuration; the caller stops it.
+// startPublished starts a site on loopback and publishes its configuration; the caller must stop it.
 func startPublished(ctx context.Context, b *testing.B, spec Spec) *Site {
 	site, err := Start(spec, nil)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return site
 }
 
-// forwarder is the baseline: a handler and one RoundTrip.
+// forwarder returns the baseline: a handler that forwards each request by one RoundTrip.
 func forwarder(target string) http.Handler {
 	t := &http.Transport{MaxIdleConnsPerHost: 64}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,12 +58,12 @@
 			w.Header()[name] = v
 		}
 		w.WriteHeader(resp.StatusCode)
-		_, _ = io.Copy(w, resp.Body) // the benchmark's client is there
+		_, _ = io.Copy(w, resp.Body) // the client runs in this process
 	})
 }
 
-// BenchmarkRequest gives the processor time and the median time of a request: straight to a target, over the bare
-// forwarder, over two of them, over an entry that owns the gate, and over two entries. Client and target are in the same process.
+// BenchmarkRequest reports the CPU time and the median latency of a request: direct to a target, through one and two bare
+// forwarders, through the entry that owns the gate, and relayed by another entry. Client and target share the process.
 func BenchmarkRequest(b *testing.B) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -89,7 +89,7 @@
 		}
 		return st.Slots
 	}
-	// Until both agree who the owner is, each has a part of the slots.
+	// Each entry holds a part of the slots until both agree on the owner.
 	if err := site.Await(ctx, func() bool { return slots(owner)+slots(other) == 32 && slots(owner)*slots(other) == 0 }); err != nil {
 		b.Fatal(err)
 	}
@@ -97,38 +97,40 @@
 		owner, other = other, owner
 	}
 	path := "/v1/services/" + ServiceName(0) + "/x"
-	ways := []*requestPath{
+	paths := []*requestPath{
 		{name: "direct", url: "http://" + target + path},
 		{name: "bare-forwarder", url: "http://" + bare + path},
 		{name: "two-bare-forwarders", url: "http://" + twice + path},
 		{name: "owner", url: "http://" + site.CallerOf(owner) + path},
 		{name: "relayed", url: "http://" + site.CallerOf(other) + path},
 	}
-	for b.Loop() { // in turn, because the machine's speed changes
-		for _, w := range ways {
+	for b.Loop() { // measure the paths in turn, since the speed of the machine varies
+		for _, w := range paths {
 			w.measure(b, site.http)
 		}
 	}
-	for _, w := range ways {
+	for _, w := range paths {
 		b.ReportMetric(w.cpuPerRequest(), w.name+"-cpu-us")
 		b.ReportMetric(float64(w.median().Microseconds()), w.name+"-p50-us")
 	}
-	b.ReportMetric(ways[3].cpuPerRequest()/ways[1].cpuPerRequest(), "owner/forwarder")
-	b.ReportMetric(ways[4].cpuPerRequest()/ways[2].cpuPerRequest(), "relayed/two-forwarders")
+	b.ReportMetric(paths[3].cpuPerRequest()/paths[1].cpuPerRequest(), "owner/forwarder")
+	b.ReportMetric(paths[4].cpuPerRequest()/paths[2].cpuPerRequest(), "relayed/two-forwarders")
 	b.ReportMetric(0, "ns/op")
 }
 
-// requestPath is one way to a target and what requests on it cost.
+// requestPath is a path to a target and the measurements of its requests.
 type requestPath struct {
 	name, url string
-	cpuTime      time.Duration
-	latencies     []time.Duration
+	cpuTime   time.Duration
+	latencies []time.Duration
 }
 
-// requestsPerRound is the number of requests that a way sends in its turn.
+// requestsPerRound is the number of requests sent on a path in each round.
 const requestsPerRound = 200
 
-func (w *requestPath) cpuPerRequest() float64 { return float64(w.cpuTime.Microseconds()) / float64(len(w.latencies)) }
+func (w *requestPath) cpuPerRequest() float64 {
+	return float64(w.cpuTime.Microseconds()) / float64(len(w.latencies))
+}
 
 func (w *requestPath) median() time.Duration {
 	slices.Sort(w.latencies)
@@ -136,13 +138,13 @@
 }
 
 func (w *requestPath) measure(b *testing.B, client *http.Client) {
-	begin := processorTime()
+	startCPU := processorTime()
 	for range requestsPerRound {
 		start := time.Now()
 		w.send(b, client)
 		w.latencies = append(w.latencies, time.Since(start))
 	}
-	w.cpuTime += processorTime() - begin
+	w.cpuTime += processorTime() - startCPU
 }
 
 func (w *requestPath) send(b *testing.B, client *http.Client) {
@@ -155,7 +157,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	_, _ = io.Copy(io.Discard, resp.Body) // what counts is its end
+	_, _ = io.Copy(io.Discard, resp.Body) // the latency includes the whole body
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		b.Fatal(resp.Status, resp.Header.Get(serve.HeaderOutcome))
--- a/internal/trial/request_matrix_test.go
+++ b/internal/trial/request_matrix_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// With the race detector the runtime of Go 1.26 fails when a timer's channel is selected on a fake clock
-// (a nil bubble in runtime.(*timer).maybeRunChan), so these tests run without it.
+// These tests run without the race detector: with it, the runtime of Go 1.26 crashes when a timer's channel is selected on
+// a fake clock (a nil bubble in runtime.(*timer).maybeRunChan).
 
 package trial
 
@@ -22,25 +22,25 @@
 	"rackstep.dev/serve"
 )
 
-// requestCell is one place of the matrix: a request, and a fault at one of its steps.
+// requestCell is one cell of the matrix: a request and a fault at one of its steps.
 type requestCell struct {
-	site   *Site
-	load   Load
-	step   serve.Step
-	after  bool
-	fault  requestFault
-	armed  bool
-	mu     sync.Mutex
-	injectedAt string // the entry where the fault struck
+	site       *Site
+	load       Load
+	step       serve.Step
+	after      bool
+	fault      requestFault
+	armed      bool
+	mu         sync.Mutex
+	injectedAt string // the entry where the fault was injected; empty if the step was not reached
 }
 
-// requestFault is thrown once, at the entry where the step happens; it may block that step.
+// requestFault is injected once, at the entry that takes the step; inject may block that step.
 type requestFault struct {
-	name  string
+	name   string
 	inject func(c *requestCell, entry string)
 }
 
-// outage is how long a fault of the platform or the network lasts.
+// outage is the duration of a fault of the platform or the network.
 const outage = 20 * time.Second
 
 func requestFaults() []requestFault {
@@ -100,17 +100,17 @@
 	time.AfterFunc(outage, func() { how(centre, false) })
 }
 
-// drain maintains every instance while the request is on its way.
+// drain maintains every instance while the request is in flight.
 func (c *requestCell) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), outage)
 	defer cancel()
 	p, err := c.site.Operator(OperatorToken).Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
 	if err == nil {
-		_, _ = c.site.Operator(OperatorToken).Order(ctx, p.ID, fleet.OrderConfirm) // the drain is then no fault
+		_, _ = c.site.Operator(OperatorToken).Order(ctx, p.ID, fleet.OrderConfirm) // without a confirmation nothing drains
 	}
 }
 
-// probe throws the fault the first time that the armed step is passed.
+// probe injects the fault the first time that the step is reached.
 func (c *requestCell) probe(entry string, step serve.Step, after bool) {
 	c.mu.Lock()
 	hit := c.armed && step == c.step && after == c.after
@@ -124,7 +124,7 @@
 	}
 }
 
-// startRequestSite has the parts that every step needs: a request that enters in one data centre and runs in the other.
+// startRequestSite starts a site on which every step can occur: requests enter in one data centre and run in the other.
 func startRequestSite(probe func(string, serve.Step, bool)) (*Site, error) {
 	spec := smallSpec()
 	spec.Workers = 0
@@ -133,7 +133,7 @@
 	return Start(spec, nil)
 }
 
-// newRequest returns the matrix's request; it may run in the second data centre only.
+// newRequest returns the cell's request, which may run in the second data centre only.
 func (c *requestCell) newRequest(repeatable bool, mark string) Request {
 	r := c.load.repeatableRequest(ServiceName(0), mark, false)
 	if !repeatable {
@@ -143,21 +143,21 @@
 	return r
 }
 
-// sendCopies sends the request, repeats it as a caller would, and returns what was told.
+// sendCopies sends the request, retries it twice as a caller would, and returns the replies.
 func (c *requestCell) sendCopies(repeatable bool) []Reply {
 	c.load = Load{Site: c.site, Work: 30 * time.Millisecond}
 	r := c.newRequest(repeatable, "m")
 	first, second := EntryName(0, 0), EntryName(0, 1)
 	c.armed = true
-	told := []Reply{c.load.Send(c.site.CallerOf(first), r)}
+	replies := []Reply{c.load.Send(c.site.CallerOf(first), r)}
 	for _, wait := range [...]time.Duration{time.Second, outage} {
 		time.Sleep(wait)
-		told = append(told, c.load.Send(c.site.CallerOf(second), r))
+		replies = append(replies, c.load.Send(c.site.CallerOf(second), r))
 	}
-	return told
+	return replies
 }
 
-// sendAfterFault says what a new request is told once the fault is over.
+// sendAfterFault returns the reply to a new request after the fault is over.
 func (c *requestCell) sendAfterFault() Reply {
 	time.Sleep(3 * outage)
 	callers := c.site.Callers()
@@ -168,47 +168,48 @@
 	return c.load.Send(callers[0], c.newRequest(true, "healed"))
 }
 
-// violations lists the promises that the cell shows broken.
-func (c *requestCell) violations(told []Reply, healed Reply) []string {
-	v := c.site.Evaluate(told)
-	var wrong []string
-	for _, b := range v.Violations() {
-		// An entry that crashed can't answer, and a target that was down may get a request that was under way.
-		if strings.Contains(b, "without an answer") && (c.fault.name == "crash" || c.fault.name == "targets-truncate") {
+// violations lists the guarantees that the replies show to be violated.
+func (c *requestCell) violations(replies []Reply, afterFault Reply) []string {
+	var out []string
+	for _, v := range c.site.Evaluate(replies).Violations() {
+		// An entry that crashed can't answer, and a target that truncates its answers gives no complete one.
+		if strings.Contains(v, "without an answer") && (c.fault.name == "crash" || c.fault.name == "targets-truncate") {
 			continue
 		}
-		wrong = append(wrong, b)
+		out = append(out, v)
 	}
 	if !c.cannotReadLog() {
-		wrong = append(wrong, deniedCopies(told)...)
+		out = append(out, deniedCopies(replies)...)
 	}
 	if c.injectedAt == "" {
-		wrong = append(wrong, "the step was never reached")
+		out = append(out, "the step was never reached")
 	}
-	if healed.Outcome != serve.OutcomeWhole || healed.Mismatched {
-		wrong = append(wrong, fmt.Sprintf("after the fault a new request was told %q (%s)", healed.Outcome, healed.Reason))
+	if afterFault.Outcome != serve.OutcomeWhole || afterFault.Mismatched {
+		out = append(out, fmt.Sprintf("after the fault a new request ended with outcome %q, reason %q", afterFault.Outcome, afterFault.Reason))
 	}
-	return wrong
+	return out
 }
 
-// cannotReadLog says that the fault keeps an entry from reading of earlier copies.
-func (c *requestCell) cannotReadLog() bool { return c.fault.name == "isolated" || c.fault.name == "log-down" }
+// cannotReadLog reports whether the fault keeps an entry from reading the claims of earlier copies in the log.
+func (c *requestCell) cannotReadLog() bool {
+	return c.fault.name == "isolated" || c.fault.name == "log-down"
+}
 
-// deniedCopies finds a copy that was told "not run" after an earlier copy of the same request had run.
-func deniedCopies(told []Reply) []string {
+// deniedCopies returns a violation if a copy was answered "not run" after an earlier copy of the same request had run.
+func deniedCopies(replies []Reply) []string {
 	ran := false
-	for _, t := range told {
+	for _, t := range replies {
 		if ran && !t.Repeatable && t.Outcome == serve.OutcomeNotRun {
-			return []string{"a copy was told 'not run' after an earlier copy had run"}
+			return []string{"a copy was answered 'not run' after an earlier copy had run"}
 		}
 		ran = ran || t.Outcome == serve.OutcomeWhole || t.Reason == serve.ReasonRanBefore
 	}
 	return nil
 }
 
-func describeReplies(told []Reply) string {
+func describeReplies(replies []Reply) string {
 	var out []string
-	for _, t := range told {
+	for _, t := range replies {
 		switch {
 		case t.NoAnswer:
 			out = append(out, "lost")
@@ -221,7 +222,8 @@
 	return strings.Join(out, ", ")
 }
 
-// TestRequestFaultMatrix throws every fault before and after every step of a request.
+// TestRequestFaultMatrix guards against requests that are lost, run twice or misreported when a fault occurs before or after
+// any step of a request, and against a site that doesn't recover from the fault.
 func TestRequestFaultMatrix(t *testing.T) {
 	var cells []matrixCell
 	for _, repeatable := range [...]bool{false, true} {
@@ -257,19 +259,19 @@
 	return "before"
 }
 
-func runRequestCell(repeatable bool, step serve.Step, after bool, fault requestFault) (result string, wrong []string) {
-	cl := &requestCell{step: step, after: after, fault: fault}
-	site, err := startRequestSite(cl.probe)
+func runRequestCell(repeatable bool, step serve.Step, after bool, fault requestFault) (result string, violations []string) {
+	c := &requestCell{step: step, after: after, fault: fault}
+	site, err := startRequestSite(c.probe)
 	if err != nil {
 		return "", []string{err.Error()}
 	}
 	defer site.Stop()
-	cl.site = site
+	c.site = site
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := site.Publish(ctx); err != nil {
 		return "", []string{err.Error()}
 	}
-	told := cl.sendCopies(repeatable)
-	return describeReplies(told), cl.violations(told, cl.sendAfterFault())
+	replies := c.sendCopies(repeatable)
+	return describeReplies(replies), c.violations(replies, c.sendAfterFault())
 }
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -21,32 +21,32 @@
 	"rackstep.dev/serve"
 )
 
-// Fault is a named switch that a trial throws while the plan runs.
+// Fault is a named failure that a trial injects while the plan runs.
 type Fault struct {
 	Name, Meaning string
-	inject         func(s *Site)
-	clear          func(s *Site)
+	inject        func(s *Site)
+	clear         func(s *Site)
 }
 
-// Faults returns every fault that a trial can throw.
+// Faults returns the faults that a trial can inject.
 func Faults() []Fault {
 	platform := func(f standin.Faults) func(*Site) { return func(s *Site) { s.Platform.SetFaults(f) } }
-	sound := platform(standin.Faults{})
+	healthy := platform(standin.Faults{})
 	target := func(f standin.TargetFaults) func(*Site) {
 		return func(s *Site) { s.Targets[RunnerName(0, 0)].SetFaults(f) }
 	}
 	first, second := Centre(0), Centre(1)
 	return []Fault{
-		{"log-down", "the log refuses everything for 5 s", platform(standin.Faults{LogDown: true}), sound},
-		{"log-slow", "every append takes 300 ms", platform(standin.Faults{LogDelay: 300 * time.Millisecond}), sound},
-		{"log-answers-lost", "every third append's answer is lost after its effect", platform(standin.Faults{LoseEvery: 3}), sound},
-		{"log-duplicates", "every second append is added twice", platform(standin.Faults{TwiceEvery: 2}), sound},
-		{"list-lags", "the instance list is 4 s old", platform(standin.Faults{ListLag: 4 * time.Second}), sound},
-		{"list-down", "the instance list does not answer for 5 s", platform(standin.Faults{ListDown: true}), sound},
-		{"commands-lost", "every second command's answer is lost after its effect", platform(standin.Faults{LoseCommands: 2}), sound},
-		{"target-fails", "one target fails everything at once", target(standin.TargetFaults{Fail: true}), target(standin.TargetFaults{})},
-		{"target-truncates", "one target ends its answers in the middle", target(standin.TargetFaults{Truncate: true}), target(standin.TargetFaults{})},
-		{"target-dies", "one target's instance goes for 5 s", func(s *Site) { s.Platform.SetDown(RunnerName(0, 0), true) }, func(s *Site) { s.Platform.SetDown(RunnerName(0, 0), false) }},
+		{"log-down", "the log rejects every call for 5 s", platform(standin.Faults{LogDown: true}), healthy},
+		{"log-slow", "every append takes 300 ms", platform(standin.Faults{LogDelay: 300 * time.Millisecond}), healthy},
+		{"log-answers-lost", "every third append's answer is lost after its effect", platform(standin.Faults{LoseEvery: 3}), healthy},
+		{"log-duplicates", "every second append is added twice", platform(standin.Faults{TwiceEvery: 2}), healthy},
+		{"list-lags", "the instance list is 4 s old", platform(standin.Faults{ListLag: 4 * time.Second}), healthy},
+		{"list-down", "the instance list does not answer for 5 s", platform(standin.Faults{ListDown: true}), healthy},
+		{"commands-lost", "every second command's answer is lost after its effect", platform(standin.Faults{LoseCommands: 2}), healthy},
+		{"target-fails", "one target fails every request immediately", target(standin.TargetFaults{Fail: true}), target(standin.TargetFaults{})},
+		{"target-truncates", "one target truncates its answers", target(standin.TargetFaults{Truncate: true}), target(standin.TargetFaults{})},
+		{"target-dies", "one target's instance is down for 5 s", func(s *Site) { s.Platform.SetDown(RunnerName(0, 0), true) }, func(s *Site) { s.Platform.SetDown(RunnerName(0, 0), false) }},
 		{"centre-cut", "a data centre is cut off from the others for 5 s", func(s *Site) { s.cutFromOthers(first, true) }, func(s *Site) { s.cutFromOthers(first, false) }},
 		{"centre-isolated", "a data centre is cut off from the others and the platform for 5 s", func(s *Site) { s.Isolate(second, true) }, func(s *Site) { s.Isolate(second, false) }},
 	}
@@ -60,30 +60,31 @@
 	}
 }
 
-// Result is what a trial found.
+// Result holds the measurements of a trial and the guarantees that it found violated.
 type Result struct {
 	Requests RequestReport
-	History History
+	History  History
 	// RollOut is the time from the confirmation to the end of the plan.
 	RollOut time.Duration
-	// PlatformViolations are what the platform saw that must never happen.
-	PlatformViolations   []string
-	Broken []string
+	// PlatformViolations lists the commands that interrupted a task or a request on their machine.
+	PlatformViolations []string
+	Broken             []string
 }
 
-// Options of a Trial.
+// Options configures Run.
 type Options struct {
 	Spec Spec
-	// Fault is thrown while the plan runs; none when its name is empty.
+	// Fault is injected while the plan runs; an empty name means none.
 	Fault Fault
-	// Out receives what happens as it happens.
+	// Out receives the progress and the report.
 	Out io.Writer
 }
 
-// faultTime is how long a fault lasts.
+// faultTime is the duration of a fault.
 const faultTime = 5 * time.Second
 
-// Run makes the whole path: publish, serve, plan, confirm, carry out, replace an entry; it reports every broken promise.
+// Run starts a site, publishes its configuration, and carries out a maintenance plan under load while it injects the fault
+// and replaces an entry. The result lists every violated guarantee.
 func Run(ctx context.Context, o Options) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, 60*time.Second)
 	defer cancel()
@@ -97,13 +98,13 @@
 	if err := site.Publish(ctx); err != nil {
 		return Result{}, err
 	}
-	t.logf("configuration version 1 is in force everywhere")
+	t.logf("configuration version 1 is in force at every entry")
 	return t.runUnderLoad(ctx)
 }
 
 type trialRun struct {
 	site    *Site
-	options       Options
+	options Options
 	began   time.Time
 	rollOut time.Duration
 }
@@ -149,7 +150,7 @@
 	return t.awaitPlan(ctx, p)
 }
 
-// submitJobs gives the batch pool work that outlasts the plan's beginning.
+// submitJobs submits jobs to the batch pool that are still running when the plan starts.
 func (t *trialRun) submitJobs(ctx context.Context) error {
 	if t.options.Spec.Workers == 0 {
 		return nil
@@ -178,16 +179,16 @@
 	}
 	callers := t.site.Callers()
 	if len(callers) == 0 {
-		return errors.New("no entry is ready")
+		return errors.New("submit or cancel job: no entry is ready")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+callers[0]+"/v1/jobs"+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("call jobs: %w", err)
+		return fmt.Errorf("submit or cancel job: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+TeamToken)
 	resp, err := t.site.http.Do(req)
 	if err != nil {
-		return fmt.Errorf("call jobs: %w", err)
+		return fmt.Errorf("submit or cancel job: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusAccepted {
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// planAndConfirm states the intent "empty the first rack of the first data centre" and confirms the plan.
+// planAndConfirm makes a plan that maintains every instance, and confirms it.
 func (t *trialRun) planAndConfirm(ctx context.Context) (fleet.Plan, error) {
 	client := t.site.Operator(OperatorToken)
 	p, err := client.Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
@@ -215,23 +216,23 @@
 	return p, nil
 }
 
-// replaceEntry stops one entry as planned and starts another in its place.
+// replaceEntry stops one entry gracefully and starts another in its place.
 func (t *trialRun) replaceEntry() {
 	name := EntryName(t.options.Spec.DataCentres-1, t.options.Spec.EntriesEach-1)
 	centre := Centre(t.options.Spec.DataCentres - 1)
 	go func() {
 		t.site.StopEntry(name)
-		t.logf("entry %s was stopped as planned", name)
+		t.logf("entry %s completed its planned stop", name)
 		if err := t.site.StartEntry(name+"2", centre); err != nil {
-			t.logf("entry %s2 did not start: %v", name, err)
+			t.logf("failed to start entry %s2: %v", name, err)
 			return
 		}
-		t.logf("entry %s2 was started in its place", name)
+		t.logf("started entry %s2 in its place", name)
 	}()
 }
 
 func (t *trialRun) awaitPlan(ctx context.Context, p fleet.Plan) error {
-	last := -1
+	lastQuarter := -1
 	err := t.site.Await(ctx, func() bool {
 		now, err := t.site.Operator(OperatorToken).GetPlan(ctx, p.ID)
 		if err != nil {
@@ -243,8 +244,8 @@
 				done++
 			}
 		}
-		if done*4/max(1, len(now.Steps)) != last {
-			last = done * 4 / max(1, len(now.Steps))
+		if done*4/max(1, len(now.Steps)) != lastQuarter {
+			lastQuarter = done * 4 / max(1, len(now.Steps))
 			t.logf("%d of %d steps done", done, len(now.Steps))
 		}
 		return now.State == fleet.PlanDone
@@ -256,11 +257,11 @@
 	return err
 }
 
-// printTimeline prints why a plan does not go on.
+// printTimeline prints the last events of a plan that did not finish.
 func (t *trialRun) printTimeline(ctx context.Context, plan string) {
 	line, err := t.site.Operator(OperatorToken).TimeLine(context.WithoutCancel(ctx), event.Subject{Plan: plan})
 	if err != nil {
-		t.logf("time line: %v", err)
+		t.logf("get time line of plan %s: %v", plan, err)
 		return
 	}
 	for _, e := range line.Events[max(0, len(line.Events)-20):] {
@@ -269,33 +270,33 @@
 }
 
 func (r Result) violations() []string {
-	broken := r.Requests.Violations()
+	out := r.Requests.Violations()
 	for name, m := range r.History.MinMargin {
 		if m < 0 {
-			broken = append(broken, fmt.Sprintf("the budget of %s was broken by %d", name, -m))
+			out = append(out, fmt.Sprintf("the budget of %s was exceeded by %d", name, -m))
 		}
 	}
 	for _, id := range r.History.RanTwice {
-		broken = append(broken, "job "+id+" ran twice")
+		out = append(out, "job "+id+" ran twice")
 	}
-	return append(broken, r.PlatformViolations...)
+	return append(out, r.PlatformViolations...)
 }
 
 func (t *trialRun) printReport(r Result) {
 	v := r.Requests
 	out := t.options.Out
-	fmt.Fprintf(out, "\nrequests %d: whole %d, not run %d, unknown %d; lost %d, doubled %d\n", v.Requests, v.Whole, v.NotRun, v.Unknown, v.NoAnswer, v.RanTwice)
+	fmt.Fprintf(out, "\nrequests %d: whole %d, not run %d, unknown %d; without an answer %d, run twice %d\n", v.Requests, v.Whole, v.NotRun, v.Unknown, v.NoAnswer, v.RanTwice)
 	for _, reason := range slices.Sorted(maps.Keys(v.Reasons)) {
 		fmt.Fprintf(out, "  %-24s %d\n", reason, v.Reasons[reason])
 	}
-	fmt.Fprintf(out, "time of whole answers: p50 %s, p99 %s\n", v.P50.Round(100*time.Microsecond), v.P99.Round(100*time.Microsecond))
+	fmt.Fprintf(out, "latency of whole answers: p50 %s, p99 %s\n", v.P50.Round(100*time.Microsecond), v.P99.Round(100*time.Microsecond))
 	lowest := slices.Min(slices.Collect(maps.Values(r.History.MinMargin)))
 	fmt.Fprintf(out, "budgets: lowest margin %d\n", lowest)
 	fmt.Fprintf(out, "jobs: %v\n", r.History.Jobs)
 	fmt.Fprintf(out, "roll-out time %s, buffer %d instances, job moves %d\n", r.RollOut.Round(10*time.Millisecond), r.History.MaxOut, r.History.Moves)
 	if len(r.Broken) == 0 {
-		fmt.Fprintln(out, "every promise was kept")
+		fmt.Fprintln(out, "all guarantees were kept")
 		return
 	}
-	fmt.Fprintf(out, "BROKEN:\n  %s\n", strings.Join(r.Broken, "\n  "))
+	fmt.Fprintf(out, "VIOLATIONS:\n  %s\n", strings.Join(r.Broken, "\n  "))
 }
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -24,19 +24,19 @@
 	"rackstep.dev/serve"
 )
 
-// Site is a running trial.
+// Site is a running site: the stand-in platform, targets and entries.
 type Site struct {
 	Spec     Spec
 	Platform *standin.Platform
 	Targets  map[string]*standin.Target
-	// Logger receives the entries' events; none when nil.
+	// Logger receives the entries' events; may be nil.
 	Logger log.Logger
 
 	url     string
 	http    *http.Client
 	work    sync.WaitGroup
 	servers []*http.Server
-	// transports are closed by Stop.
+	// transports lists the HTTP transports whose idle connections Stop closes.
 	transports []*http.Transport
 
 	mu      sync.Mutex
@@ -50,17 +50,17 @@
 	centre string
 	stop   context.CancelFunc
 	done   chan struct{}
-	// crashed says that the end of the context is a crash and not a planned stop.
+	// crashed reports that the context was cancelled to simulate a crash and not a planned stop.
 	crashed atomic.Bool
 }
 
-// PlatformEndpoint stands for the platform in Cut.
+// PlatformEndpoint names the platform in SetCut.
 const PlatformEndpoint = "platform"
 
-// Start runs a site without a configuration; Stop ends it.
+// Start starts a site without a configuration; Stop stops it.
 func Start(spec Spec, logger log.Logger) (*Site, error) { return start(spec, logger, nil) }
 
-// startWithProbe is Start with a switch at the platform.
+// startWithProbe is Start with a probe that the stand-in platform runs before and after each call.
 func startWithProbe(spec Spec, probe func(standin.Call, bool) bool) (*Site, error) {
 	return start(spec, nil, probe)
 }
@@ -116,7 +116,7 @@
 	return t
 }
 
-// serve listens on a free loopback port and returns its address.
+// serve serves HTTP on a free loopback port and returns the address.
 func (s *Site) serve(h http.Handler, srv *http.Server) (string, error) {
 	ln, err := s.listen("127.0.0.1:0")
 	if err != nil {
@@ -126,7 +126,7 @@
 		srv = &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	}
 	s.servers = append(s.servers, srv)
-	s.work.Go(func() { _ = srv.Serve(ln) }) // it ends with Stop
+	s.work.Go(func() { _ = srv.Serve(ln) }) // Serve returns an error once Stop closes the server
 	return ln.Addr().String(), nil
 }
 
@@ -148,7 +148,8 @@
 	return nil
 }
 
-// addInstance lists the n-th instance; racks are filled within a data centre.
+// addInstance adds the n-th instance to the platform's list. Instances rotate over the data centres and fill one rack after
+// another in each.
 func (s *Site) addInstance(id string, n int, address string, t *standin.Target) {
 	centre := Centre(n % s.Spec.DataCentres)
 	rack := fmt.Sprintf("%s-rack-%d", centre, n/s.Spec.DataCentres/s.Spec.RackSize+1)
@@ -156,7 +157,7 @@
 		Cores: s.Spec.Cores, MemoryMB: s.Spec.MemoryMB}, t)
 }
 
-// StartEntry runs a new entry and lists it.
+// StartEntry starts a new entry and adds it to the platform's list.
 func (s *Site) StartEntry(name, centre string) error {
 	const anyPort = "127.0.0.1:0"
 	settings := config.Settings{
@@ -184,7 +185,7 @@
 	s.Platform.Put(provider.Listed{ID: name, Role: provider.RoleEntry, DataCentre: centre, Boot: e.Self().Boot}, nil)
 	s.work.Go(func() {
 		defer close(n.done)
-		_ = e.RunUntil(ctx, n.crashed.Load) // it ends with StopEntry or CrashEntry
+		_ = e.RunUntil(ctx, n.crashed.Load) // StopEntry or CrashEntry ends it
 	})
 	return nil
 }
@@ -206,7 +207,7 @@
 	return peers
 }
 
-// removeEntry removes the entry from those that run and returns it, or nil.
+// removeEntry removes the entry from the running ones and returns it, or nil if it isn't running.
 func (s *Site) removeEntry(name string) *node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,7 +216,7 @@
 	return n
 }
 
-// StopEntry stops the entry as planned and takes it out of the list.
+// StopEntry stops the entry gracefully and removes it from the platform's list.
 func (s *Site) StopEntry(name string) {
 	n := s.removeEntry(name)
 	if n == nil {
@@ -226,7 +227,7 @@
 	s.Platform.Delete(name)
 }
 
-// CrashEntry ends the entry at once, without a planned stop; the platform still lists it.
+// CrashEntry stops the entry abruptly; the platform still lists it.
 func (s *Site) CrashEntry(name string) {
 	n := s.removeEntry(name)
 	if n == nil {
@@ -236,17 +237,17 @@
 	n.stop()
 }
 
-// Stop ends everything.
+// Stop stops the entries, the platform and the targets.
 func (s *Site) Stop() {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	s.mu.Lock()
 	for name := range s.entries {
-		all.Go(func() { s.StopEntry(name) })
+		wg.Go(func() { s.StopEntry(name) })
 	}
 	s.mu.Unlock()
-	all.Wait()
+	wg.Wait()
 	for _, srv := range s.servers {
-		_ = srv.Close() // it is the end
+		_ = srv.Close() // nothing uses the listener any more
 	}
 	s.work.Wait()
 	for _, t := range s.transports {
@@ -260,7 +261,7 @@
 	if n := s.entries[name]; n != nil {
 		return n.centre
 	}
-	// A stopped entry's name still tells its place.
+	// The name of a stopped entry still identifies its data centre.
 	for i := range s.Spec.DataCentres {
 		if strings.HasPrefix(name, EntryName(i, 0)[:len(EntryName(i, 0))-1]) {
 			return Centre(i)
@@ -269,7 +270,7 @@
 	return ""
 }
 
-// SetCut cuts two places or two entries off from each other, or joins them; PlatformPlace stands for the platform.
+// SetCut cuts or restores the network between two data centres, two entries, or a data centre and PlatformEndpoint.
 func (s *Site) SetCut(a, b string, cut bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -277,7 +278,7 @@
 	s.cuts[[2]string{b, a}] = cut
 }
 
-// Isolate cuts a data centre off from the others and the platform, or joins it again.
+// Isolate cuts or restores the network between a data centre and both the platform and the other data centres.
 func (s *Site) Isolate(centre string, cut bool) {
 	s.SetCut(centre, PlatformEndpoint, cut)
 	for i := range s.Spec.DataCentres {
@@ -302,7 +303,7 @@
 
 var errCut = errors.New("cut off from the platform")
 
-// RoundTrip sends the request unless the place is cut off.
+// RoundTrip sends the request unless the data centre is cut off from the platform.
 func (t *partitionTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if t.site.isCut(t.centre, PlatformEndpoint) {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: errCut}
@@ -310,7 +311,7 @@
 	return t.next.RoundTrip(r)
 }
 
-// Callers returns the callers' addresses of all running entries.
+// Callers returns the addresses at which entries that are ready accept callers.
 func (s *Site) Callers() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -323,7 +324,7 @@
 	return out
 }
 
-// CallerOf returns the callers' address of an entry.
+// CallerOf returns the address at which the entry accepts callers, or "" if it isn't running.
 func (s *Site) CallerOf(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -333,23 +334,23 @@
 	return ""
 }
 
-// Operator returns a client of some entry's operators' interface; token is its operator's.
+// Operator returns an operator's client of the first entry, by name, whose data centre can reach the platform.
 func (s *Site) Operator(token string) *admin.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	best := ""
+	first := ""
 	for name, n := range s.entries {
-		if (best == "" || name < best) && !s.cuts[[2]string{n.centre, PlatformEndpoint}] {
-			best = name
+		if (first == "" || name < first) && !s.cuts[[2]string{n.centre, PlatformEndpoint}] {
+			first = name
 		}
 	}
-	if best == "" {
+	if first == "" {
 		return &admin.Client{Token: token, HTTP: s.http}
 	}
-	return &admin.Client{Address: s.entries[best].entry.Self().OperatorAddress, Token: token, HTTP: s.http}
+	return &admin.Client{Address: s.entries[first].entry.Self().OperatorAddress, Token: token, HTTP: s.http}
 }
 
-// OperatorOf returns a client of the entry's operators' interface.
+// OperatorOf returns an operator's client of the entry.
 func (s *Site) OperatorOf(name, token string) *admin.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -360,12 +361,13 @@
 	return c
 }
 
-// Publish publishes the first configuration and waits until every entry follows it and sees every target.
+// Publish publishes the first configuration and waits until every entry has applied it and every instance is serving.
 func (s *Site) Publish(ctx context.Context) error {
 	err := s.Await(ctx, func() bool {
 		_, err := s.Operator(BootstrapToken).Apply(ctx, admin.Apply{ID: "first", Configuration: s.Spec.Configuration()})
-		var refused *serve.Problem
-		return err == nil || (errors.As(err, &refused) && refused.Status == http.StatusUnauthorized) // it is in force already
+		var problem *serve.Problem
+		// The bootstrap token is rejected once a configuration is in force, as after a lost answer.
+		return err == nil || (errors.As(err, &problem) && problem.Status == http.StatusUnauthorized)
 	})
 	if err != nil {
 		return fmt.Errorf("publish: %w", err)
@@ -397,19 +399,19 @@
 	return len(s.Callers()) == s.Spec.DataCentres*s.Spec.EntriesEach
 }
 
-// Await asks again until ok or the context ends.
+// Await polls ok until it returns true or the context is done.
 func (s *Site) Await(ctx context.Context, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("the site did not get there in time: %w", ctx.Err())
+			return fmt.Errorf("the site did not reach the expected state in time: %w", ctx.Err())
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// AwaitPlan waits until the plan is in the state.
+// AwaitPlan waits until the plan reaches the state.
 func (s *Site) AwaitPlan(ctx context.Context, id string, state fleet.PlanState) error {
 	return s.Await(ctx, func() bool {
 		p, err := s.Operator(OperatorToken).GetPlan(ctx, id)
--- a/internal/trial/site_test.go
+++ b/internal/trial/site_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// With the race detector the runtime of Go 1.26 fails when a timer's channel is selected on a fake clock
-// (a nil bubble in runtime.(*timer).maybeRunChan), so these tests run without it.
+// These tests run without the race detector: with it, the runtime of Go 1.26 crashes when a timer's channel is selected on
+// a fake clock (a nil bubble in runtime.(*timer).maybeRunChan).
 
 package trial
 
@@ -34,12 +34,12 @@
 	return s
 }
 
-// smallSpec is a site on which every step can happen.
+// smallSpec is the smallest site on which every step of the matrices can occur.
 func smallSpec() Spec {
 	return Spec{DataCentres: 2, EntriesEach: 2, Services: 1, RunnersEach: 4, Workers: 2, Cores: 4, MemoryMB: 1024, RackSize: 2, Spare: 1, RebootTime: time.Second}
 }
 
-// jobsByID returns the site's jobs by ID, as some entry knows them.
+// jobsByID returns the site's jobs by ID, as listed by one entry.
 func jobsByID(ctx context.Context, c *quicktest.C, s *Site) map[string]fleet.Job {
 	c.Helper()
 	rows, err := s.Operator(OperatorToken).Jobs(ctx)
@@ -51,6 +51,8 @@
 	return byID
 }
 
+// TestMaintenanceUnderLoadKeepsEveryPromise guards against requests that fail, run twice or reach an instance during its
+// maintenance while every instance is rebooted under load.
 func TestMaintenanceUnderLoadKeepsEveryPromise(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -78,7 +80,9 @@
 	})
 }
 
-// TestAtTwiceTheCapacityGoodputStays sends twice what the targets can run and counts whole answers.
+// TestAtTwiceTheCapacityGoodputStays guards against overload that lowers throughput. It sends requests at twice the
+// rate that the targets can process; at least 95% of the capacity must end in complete answers, and requests beyond the queue
+// must be rejected at once.
 func TestAtTwiceTheCapacityGoodputStays(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -89,36 +93,37 @@
 		capacity := spec.RunnersEach * fleet.DefaultSlots * int(time.Second/each)
 		load := &Load{Site: s, Work: each}
 		callers := s.Callers()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		late, good := 0, 0
 		begin := time.Now()
 		var mu sync.Mutex
 		for i := range 2 * capacity * seconds {
 			time.Sleep(time.Second / time.Duration(2*capacity))
-			all.Go(func() {
-				told := load.Send(callers[i%len(callers)], load.repeatableRequest(ServiceName(0), fmt.Sprint("m", i), false))
-				load.record(told)
+			wg.Go(func() {
+				reply := load.Send(callers[i%len(callers)], load.repeatableRequest(ServiceName(0), fmt.Sprint("m", i), false))
+				load.record(reply)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case told.Reason == serve.ReasonQueueFull && told.Latency > 50*time.Millisecond:
+				case reply.Reason == serve.ReasonQueueFull && reply.Latency > 50*time.Millisecond:
 					late++
-				case told.Outcome == serve.OutcomeWhole && time.Since(begin) <= seconds*time.Second:
+				case reply.Outcome == serve.OutcomeWhole && time.Since(begin) <= seconds*time.Second:
 					good++
 				}
 			})
 		}
-		all.Wait()
-		could := float64(capacity) * (seconds*time.Second - each).Seconds() // none can end before the first's time
+		wg.Wait()
+		possible := float64(capacity) * (seconds*time.Second - each).Seconds() // no request ends before the first one's processing time
 		v := s.Evaluate(load.Replies())
-		t.Logf("%d whole answers of the %.0f that the targets could give, %+v", good, could, v)
+		t.Logf("%d whole answers of %.0f possible, %+v", good, possible, v)
 		c.Assert(v.Violations(), quicktest.HasLen, 0)
-		c.Assert(float64(good) >= 0.95*could, quicktest.IsTrue)
-		c.Assert(late, quicktest.Equals, 0) // on a fake clock: refused in the same instant
+		c.Assert(float64(good) >= 0.95*possible, quicktest.IsTrue)
+		c.Assert(late, quicktest.Equals, 0) // a rejection takes no time on the fake clock
 	})
 }
 
-// TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost runs two jobs on one worker that use twice what they declare.
+// TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost guards against jobs that are killed or started again because they
+// exceed their declared cores. Two jobs share a worker and each uses more than it declares; both must be throttled and finish.
 func TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -139,7 +144,8 @@
 	})
 }
 
-// TestJobsOutliveALongOutageOfTheLog has the log down for longer than a task's lease.
+// TestJobsOutliveALongOutageOfTheLog guards against jobs that are lost or started again when the log is down for longer than
+// the lease of a task; one job ends during the outage and one after it.
 func TestJobsOutliveALongOutageOfTheLog(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -167,7 +173,8 @@
 	})
 }
 
-// TestUrgentWorkStartsInTimeWhenEverythingIsFull fills every worker and then submits an urgent job.
+// TestUrgentWorkStartsInTimeWhenEverythingIsFull guards against an urgent job that waits for running jobs to end. Every core
+// is in use when it is submitted, so an ordinary job must yield by a checkpoint and later finish without starting over.
 func TestUrgentWorkStartsInTimeWhenEverythingIsFull(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
@@ -188,7 +195,7 @@
 			}
 			return ids
 		}
-		for i := range 5 { // room for four
+		for i := range 5 { // four fit
 			submit(fmt.Sprint("ordinary-", i), false)
 		}
 		c.Assert(s.Await(ctx, func() bool { return len(in(fleet.JobRunning)) == 4 }), quicktest.IsNil)
@@ -196,7 +203,7 @@
 		submit("urgent", true)
 		c.Assert(s.Await(ctx, func() bool { return in(fleet.JobRunning)["urgent"] }), quicktest.IsNil)
 		took := time.Since(begin)
-		t.Logf("the urgent job ran after %s of the fake clock", took)
+		t.Logf("the urgent job ran after %s of fake time", took)
 		c.Assert(took <= 3500*time.Millisecond, quicktest.IsTrue)
 		c.Assert(s.Await(ctx, func() bool { return len(in(fleet.JobDone)) == 6 }), quicktest.IsNil)
 		for id, n := range s.Platform.Starts() {
--- a/internal/trial/spec.go
+++ b/internal/trial/spec.go
@@ -11,7 +11,7 @@
 	"rackstep.dev/serve"
 )
 
-// Spec is the size of a site.
+// Spec describes the size and the settings of a site.
 type Spec struct {
 	DataCentres int
 	EntriesEach int
@@ -20,24 +20,24 @@
 	RunnersEach int
 	// Workers is the number of instances of the batch pool.
 	Workers int
-	// Cores and MemoryMB are of each instance.
+	// Cores and MemoryMB are the resources of each instance.
 	Cores, MemoryMB int
 	// RackSize is the number of instances in a rack.
 	RackSize int
-	// Spare is the number of instances of each service that may be out at once.
+	// Spare is the number of instances of each service that may be out of service at once.
 	Spare   int
 	Weights fleet.Weights
-	// RebootTime is how long the platform takes to reboot an instance.
+	// RebootTime is the time that the platform takes to reboot an instance.
 	RebootTime time.Duration
-	// CheckpointEvery is the entries' setting; their default when 0.
+	// CheckpointEvery is the setting of the entries; 0 selects their default.
 	CheckpointEvery time.Duration
-	// Network replaces the loopback network, for tests on fake time; may be nil.
+	// Network replaces the loopback network in tests on fake time; may be nil.
 	Network *memnet.Network
-	// Probe is called at each step of a request at an entry; may be nil.
+	// Probe is called before and after each step of a request at an entry; may be nil.
 	Probe func(entry string, step serve.Step, after bool)
 }
 
-// Sizes returns the named size: small, muscat or norrskalv.
+// NamedSpec returns the specification of the named size: small, muscat or norrskalv.
 func Sizes(name string) (Spec, error) {
 	s := Spec{DataCentres: 4, EntriesEach: 2, Services: 2, RunnersEach: 8, Workers: 8, Cores: 16, MemoryMB: 32 << 10, RackSize: 4, Spare: 2,
 		Weights: fleet.Weights{RollOut: 1, Buffer: 1, Moves: 0.5}, RebootTime: time.Second}
@@ -50,12 +50,12 @@
 		s.Cores, s.MemoryMB = 64, 256<<10
 		s.Weights = fleet.Weights{RollOut: 0.5, Buffer: 0.5, Moves: 2}
 	default:
-		return Spec{}, fmt.Errorf("size %q is not known; use small, muscat or norrskalv", name)
+		return Spec{}, fmt.Errorf("unknown size %q; use small, muscat or norrskalv", name)
 	}
 	return s, nil
 }
 
-// Tokens of a trial's callers and operators.
+// Tokens of the callers and the operator of a site.
 const (
 	TeamToken      = "trial-team-token"
 	OtherTeamToken = "trial-other-team-token"
@@ -100,7 +100,7 @@
 		c.Pools = append(c.Pools, fleet.Pool{Name: ServiceName(i), Members: names(s.RunnersEach, func(j int) string { return RunnerName(i, j) })})
 		svc := fleet.Service{Name: ServiceName(i), Pool: ServiceName(i), DataCentres: all, MinAvailable: s.RunnersEach - s.Spare, Timeout: fleet.Duration(5 * time.Second)}
 		if i == s.Services-1 && s.Services > 1 {
-			svc.DataCentres = all[:max(1, len(all)/2)] // the last service is bound to half of the places
+			svc.DataCentres = all[:max(1, len(all)/2)] // the last service runs in half of the data centres only
 			svc.MinAvailable = max(1, svc.MinAvailable/2-1)
 		}
 		c.Services = append(c.Services, svc)
