--- a/internal/drive/simulate.go
+++ b/internal/drive/simulate.go
@@ -94,7 +94,7 @@
 type simJob struct {
 	remaining    time.Duration // true run time that remains
 	cores        float64       // cores used when neither throttled nor on an overloaded instance
-	usage        place.Seen    // usage that the platform reports
+	usage        place.Usage   // usage that the platform reports
 	startedAt    time.Time     // start of the current attempt
 	checkpointAt time.Time     // when its checkpoint is complete; zero if none was requested
 	uncounted    bool          // it was running before the wave and is not yet counted in MovesBound
@@ -176,7 +176,7 @@
 }
 
 func (r *simulation) placeJobs() {
-	d := place.Decide(r.tables, place.Options{FirstFit: r.policy.Baseline, Until: r.untilDrain(), Margin: r.runTimeMargin()})
+	d := place.Decide(r.tables, place.Options{FirstFit: r.policy.Baseline, UntilDrain: r.untilDrain(), Margin: r.runTimeMargin()})
 	for _, s := range d.Starts {
 		if r.apply(fleet.Record{Start: &s}) {
 			r.apply(fleet.Record{Settle: &fleet.Settle{Job: s.Job, Attempt: s.Attempt, Outcome: fleet.OutcomeRunning}})
@@ -197,7 +197,7 @@
 	if r.policy.Baseline {
 		return nil
 	}
-	return plan.Turns(r.tables, r.costs())
+	return plan.TimeToTakeOut(r.tables, r.costs())
 }
 
 func (r *simulation) costs() plan.Costs { return plan.Costs{Maintenance: r.size.Maintenance} }
@@ -322,7 +322,7 @@
 
 // checkpointDraining starts a checkpoint of the jobs on draining instances, except of those that are about to end.
 func (r *simulation) checkpointDraining() {
-	maxWait := r.costs().Wait(r.size.Weights)
+	maxWait := r.costs().JobWait(r.size.Weights)
 	if r.policy.Baseline {
 		maxWait = 0
 	}
@@ -331,7 +331,7 @@
 		if w == nil || j.State != fleet.JobRunning || !w.checkpointAt.IsZero() || r.tables.Instances.Get(j.Instance).State != fleet.InstanceDraining {
 			continue
 		}
-		if plan.Leaves(j, r.now.Sub(w.startedAt), maxWait) {
+		if plan.ShouldMove(j, r.now.Sub(w.startedAt), maxWait) {
 			w.checkpointAt = r.now.Add(checkpointTime)
 		}
 	}
@@ -345,7 +345,7 @@
 			done, issued := r.commandEnds[id]
 			switch {
 			case !issued:
-				return plan.CommandUnasked
+				return plan.CommandNotQueried
 			case r.now.Before(done):
 				return plan.CommandRunning
 			}
--- a/internal/drive/usage.go
+++ b/internal/drive/usage.go
@@ -50,7 +50,7 @@
 		r.result.OverloadSeconds += (1 - rate) * tick.Seconds()
 		rate *= w.throttledCores(j) / w.cores
 		w.remaining -= time.Duration(rate * float64(tick))
-		w.usage = place.Seen{Cores: rate * w.cores, MemoryMB: j.Spec.MemoryMB, Ran: r.now.Sub(w.startedAt) - usageLag}
+		w.usage = place.Usage{Cores: rate * w.cores, MemoryMB: j.Spec.MemoryMB, Ran: r.now.Sub(w.startedAt) - usageLag}
 		r.result.SlowedSeconds += (1 - rate) * tick.Seconds()
 		r.result.RunSeconds += tick.Seconds()
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -376,7 +376,7 @@
 		}
 		ask := func() (int, string) { return s.call(h, n%entries, keyOf(id), http.MethodGet, id, "") }
 		for status, last := ask(); !strings.Contains(last, want); status, last = ask() {
-			if strings.Contains(last, `"failed"`) && s.platform.LivesEndedUnder(id) >= job.LostProved {
+			if strings.Contains(last, `"failed"`) && s.platform.LivesEndedUnder(id) >= job.LossLimitConclusive {
 				s.c.Logf("seed %d: job %s was given up, since workers have crashed under it beside a culprit", seed, id)
 				break
 			}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -56,7 +56,7 @@
 
 // machine is one listed instance.
 type machine struct {
-	listed provider.Listed
+	listed provider.Instance
 	down   bool
 	// commanded says that a command has taken the machine down.
 	commanded bool
@@ -68,7 +68,7 @@
 // snapshot is the instance list at one time.
 type snapshot struct {
 	at   time.Time
-	rows []provider.Listed
+	rows []provider.Instance
 	// tag is the list's entity tag.
 	tag string
 }
@@ -100,7 +100,7 @@
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
 // Put lists the instance, or lists it anew; target may be nil.
-func (p *Platform) Put(row provider.Listed, target *Target) {
+func (p *Platform) Put(row provider.Instance, target *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.machines[row.ID]
@@ -152,7 +152,7 @@
 
 func (p *Platform) snap() {
 	now := time.Now()
-	var rows []provider.Listed
+	var rows []provider.Instance
 	for _, m := range p.machines {
 		if !m.down {
 			rows = append(rows, m.listed)
@@ -184,7 +184,7 @@
 		return
 	}
 	at := time.Now().Add(-p.faults.ListLag)
-	rows, tag := []provider.Listed{}, `"none"`
+	rows, tag := []provider.Instance{}, `"none"`
 	for _, s := range p.history {
 		if !s.at.After(at) {
 			rows, tag = s.rows, s.tag
@@ -196,7 +196,7 @@
 		return
 	}
 	list := struct {
-		Instances []provider.Listed `json:"instances"`
+		Instances []provider.Instance `json:"instances"`
 	}{rows}
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		reply(w, list)
@@ -210,7 +210,7 @@
 }
 
 func (p *Platform) putInstance(w http.ResponseWriter, r *http.Request) {
-	var row provider.Listed
+	var row provider.Instance
 	if err := json.NewDecoder(r.Body).Decode(&row); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/work.go
+++ b/internal/standin/work.go
@@ -194,7 +194,7 @@
 
 func (t *task) usage(ran time.Duration) *provider.Usage {
 	u := t.uses
-	u.Ran = ran
+	u.RunTime = ran
 	if t.limit > 0 {
 		u.Cores = min(u.Cores, float64(t.limit))
 	}
--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -176,7 +176,7 @@
 	op := c.site.Operator(OperatorToken)
 	conf := c.site.Spec.Configuration()
 	conf.Weights.Moves = 7
-	_, _ = op.Apply(ctx, admin.Apply{Base: 1, Configuration: conf}) // either operator's version may be accepted
+	_, _ = op.Apply(ctx, admin.ApplyRequest{Base: 1, Configuration: conf}) // either operator's version may be accepted
 	p, err := op.Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
 	if err != nil {
 		return
@@ -216,7 +216,7 @@
 	conf := c.site.Spec.Configuration()
 	conf.Pools = append(conf.Pools, fleet.Pool{Name: "spare"})
 	applied = c.retry(ctx, func() error {
-		_, err := c.site.Operator(OperatorToken).Apply(ctx, admin.Apply{ID: "second", Base: 1, Configuration: conf})
+		_, err := c.site.Operator(OperatorToken).Apply(ctx, admin.ApplyRequest{ID: "second", Base: 1, Configuration: conf})
 		return err
 	})
 	if err := c.runPlan(ctx, fleet.Intent{Kind: fleet.IntentMaintain}); err != nil {
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -123,7 +123,7 @@
 // leaderIndex returns the index of the first entry that considers itself the leader, or 0.
 func leaderIndex(nodes []*platformNode) int {
 	for i, n := range nodes {
-		if n.entry.Leads() {
+		if n.entry.IsLeader() {
 			return i
 		}
 	}
--- a/internal/trial/request_matrix_test.go
+++ b/internal/trial/request_matrix_test.go
@@ -202,7 +202,7 @@
 		if ran && !t.Repeatable && t.Outcome == serve.OutcomeNotRun {
 			return []string{"a copy was answered 'not run' after an earlier copy had run"}
 		}
-		ran = ran || t.Outcome == serve.OutcomeWhole || t.Reason == serve.ReasonRanBefore
+		ran = ran || t.Outcome == serve.OutcomeWhole || t.Reason == serve.ReasonKeyCompleted
 	}
 	return nil
 }
