--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// With the race detector the runtime of Go 1.26 fails when a timer's channel is selected on a fake clock
-// (a nil bubble in runtime.(*timer).maybeRunChan), so these tests run without it.
+// These tests run without the race detector: with it, the runtime of Go 1.26 crashes when a timer's channel is selected on
+// a fake clock (a nil bubble in runtime.(*timer).maybeRunChan).
 
 package trial
 
@@ -23,25 +23,25 @@
 	"rackstep.dev/serve"
 )
 
-// fleetCell is one run of the whole scenario with a fault at the first occurrence of one step.
+// fleetCell is one run of the scenario with a fault at the first occurrence of one step.
 type fleetCell struct {
-	site  *Site
-	step  string
-	after bool
-	fault fleetFault
-	mu    sync.Mutex
-	armed bool
-	hit   bool
-	work  sync.WaitGroup
+	site     *Site
+	step     string
+	after    bool
+	fault    fleetFault
+	mu       sync.Mutex
+	armed    bool
+	injected bool
+	work     sync.WaitGroup
 }
 
-// fleetFault is thrown once; it returns whether the call fails.
+// fleetFault is injected once; inject returns whether the call fails.
 type fleetFault struct {
-	name  string
-	throw func(c *fleetCell, call standin.Call) bool
+	name   string
+	inject func(c *fleetCell, call standin.Call) bool
 }
 
-// fleetSteps are the records and calls by which the fleet changes; each is a step of the matrix.
+// fleetSteps returns the steps of the matrix: the kinds of records and calls that change the fleet.
 func fleetSteps() []string {
 	return []string{
 		"configure", "join", "observe", "propose", "order", "draining", "drained", "acting", "done",
@@ -49,8 +49,8 @@
 	}
 }
 
-// isStep says whether the call is the step, or one of its records is.
-func isStep(call standin.Call, step string) bool {
+// matchesStep reports whether the call, or one of the records that it appends, is of the step's kind.
+func matchesStep(call standin.Call, step string) bool {
 	if call.Kind != "append" {
 		return call.Kind == step
 	}
@@ -58,14 +58,14 @@
 		return false
 	}
 	for _, data := range call.Records {
-		if r, err := fleet.DecodeRecord(data); err == nil && stepOfRecord(r) == step {
+		if r, err := fleet.DecodeRecord(data); err == nil && recordStep(r) == step {
 			return true
 		}
 	}
 	return false
 }
 
-func stepOfRecord(r fleet.Record) string {
+func recordStep(r fleet.Record) string {
 	switch {
 	case r.Configure != nil:
 		return "configure"
@@ -126,11 +126,11 @@
 			}
 			return false
 		}},
-		{"writer-crashes", func(c *fleetCell, call standin.Call) bool { c.replace(writerOf(call)); return false }},
+		{"writer-crashes", func(c *fleetCell, call standin.Call) bool { c.restart(writerOf(call)); return false }},
 		{"all-replaced", func(c *fleetCell, _ standin.Call) bool {
 			for dc := range c.site.Spec.DataCentres {
 				for i := range c.site.Spec.EntriesEach {
-					c.replace(EntryName(dc, i))
+					c.restart(EntryName(dc, i))
 				}
 			}
 			return false
@@ -155,28 +155,28 @@
 			}
 			return false
 		}},
-		{"operators-race", func(c *fleetCell, _ standin.Call) bool { c.work.Go(c.race); return false }},
+		{"operators-race", func(c *fleetCell, _ standin.Call) bool { c.work.Go(c.raceOperator); return false }},
 	}
 }
 
-// replace crashes the entry and starts another incarnation of it a little later.
-func (c *fleetCell) replace(name string) {
+// restart crashes the entry and starts it again 2 s later.
+func (c *fleetCell) restart(name string) {
 	centre := c.site.centreOf(name)
 	c.site.CrashEntry(name)
 	c.work.Go(func() {
 		time.Sleep(2 * time.Second)
-		_ = c.site.StartEntry(name, centre) // the scenario's end shows an entry that is missing
+		_ = c.site.StartEntry(name, centre) // entryViolations reports an entry that is missing
 	})
 }
 
-// race publishes, plans, confirms, pauses and resumes beside the scenario's own operator.
-func (c *fleetCell) race() {
+// raceOperator publishes a configuration and controls a plan concurrently with the scenario's operator.
+func (c *fleetCell) raceOperator() {
 	ctx, cancel := context.WithTimeout(context.Background(), outage)
 	defer cancel()
 	op := c.site.Operator(OperatorToken)
 	conf := c.site.Spec.Configuration()
 	conf.Weights.Moves = 7
-	_, _ = op.Apply(ctx, admin.ApplyRequest{Base: 1, Configuration: conf}) // either operator may win
+	_, _ = op.Apply(ctx, admin.ApplyRequest{Base: 1, Configuration: conf}) // either operator's version may be accepted
 	p, err := op.Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
 	if err != nil {
 		return
@@ -190,54 +190,56 @@
 
 func (c *fleetCell) probe(call standin.Call, after bool) bool {
 	c.mu.Lock()
-	hit := c.armed && !c.hit && after == c.after && isStep(call, c.step)
-	c.hit = c.hit || hit
+	hit := c.armed && !c.injected && after == c.after && matchesStep(call, c.step)
+	c.injected = c.injected || hit
 	c.mu.Unlock()
-	return hit && c.fault.throw(c, call)
+	return hit && c.fault.inject(c, call)
 }
 
-// scenario is what an operator and a caller do; every call is repeated until its outcome is known.
+// scenario performs the calls of an operator and of a job's owner. It retries each call until the outcome is known and
+// reports whether its second configuration was accepted.
 func (c *fleetCell) scenario(ctx context.Context) (applied bool, err error) {
 	if err := c.site.Publish(ctx); err != nil {
 		return false, err
 	}
-	c.greedy(ctx)
+	c.runOverusingJob(ctx)
 	for i := range 3 {
 		spec := fleet.JobSpec{ID: fmt.Sprintf("job-%d", i), Pool: BatchPool, Cores: 2, MemoryMB: 10, RunTime: fleet.Duration(8 * time.Second),
 			Repeatable: i == 1, Command: "run 8s"}
-		c.until(ctx, func() error { return c.job(ctx, "POST", "", spec) })
+		c.retry(ctx, func() error { return c.job(ctx, "POST", "", spec) })
 	}
-	time.Sleep(2 * time.Second) // both workers are full then
+	time.Sleep(2 * time.Second) // by then both workers are full
 	urgent := fleet.JobSpec{ID: "urgent", Pool: BatchPool, Cores: 4, RunTime: fleet.Duration(2 * time.Second), Urgent: true, Command: "run 2s"}
-	c.until(ctx, func() error { return c.job(ctx, "POST", "", urgent) })
+	c.retry(ctx, func() error { return c.job(ctx, "POST", "", urgent) })
 	time.Sleep(3 * time.Second)
-	c.until(ctx, func() error { return c.job(ctx, "DELETE", "/job-2", fleet.JobSpec{}) })
+	c.retry(ctx, func() error { return c.job(ctx, "DELETE", "/job-2", fleet.JobSpec{}) })
 	conf := c.site.Spec.Configuration()
 	conf.Pools = append(conf.Pools, fleet.Pool{Name: "spare"})
-	applied = c.until(ctx, func() error {
+	applied = c.retry(ctx, func() error {
 		_, err := c.site.Operator(OperatorToken).Apply(ctx, admin.ApplyRequest{ID: "second", Base: 1, Configuration: conf})
 		return err
 	})
-	if err := c.carryOut(ctx, fleet.Intent{Kind: fleet.IntentMaintain}); err != nil {
+	if err := c.runPlan(ctx, fleet.Intent{Kind: fleet.IntentMaintain}); err != nil {
 		return applied, err
 	}
 	if !applied {
-		return applied, nil // another operator won, so the spare pool is not there
+		return applied, nil // the other operator's configuration has no spare pool
 	}
-	return applied, c.carryOut(ctx, fleet.Intent{Kind: fleet.IntentMove, Pool: "spare", Instances: []string{RunnerName(0, 3)}})
+	return applied, c.runPlan(ctx, fleet.Intent{Kind: fleet.IntentMove, Pool: "spare", Instances: []string{RunnerName(0, 3)}})
 }
 
-// greedy runs two jobs on one worker, of which the first uses more than it declares.
-func (c *fleetCell) greedy(ctx context.Context) {
+// runOverusingJob runs two jobs on one worker; the first uses more cores than it declares.
+func (c *fleetCell) runOverusingJob(ctx context.Context) {
 	for _, command := range [...]string{"run 6s use 3", "run 6s"} {
 		spec := fleet.JobSpec{ID: "greedy-" + fmt.Sprint(len(command)), Pool: BatchPool, Cores: 2, MemoryMB: 10, RunTime: fleet.Duration(6 * time.Second), Repeatable: true, Command: command}
-		c.until(ctx, func() error { return c.job(ctx, "POST", "", spec) })
+		c.retry(ctx, func() error { return c.job(ctx, "POST", "", spec) })
 	}
 	time.Sleep(7 * time.Second)
 }
 
-// until repeats the call while its outcome is unknown or nobody answers; it says whether it was accepted.
-func (c *fleetCell) until(ctx context.Context, call func() error) bool {
+// retry repeats the call until it is accepted, refused with status 409, or the context is done. It reports whether the call
+// was accepted.
+func (c *fleetCell) retry(ctx context.Context, call func() error) bool {
 	for {
 		err := call()
 		var p *serve.Problem
@@ -253,18 +255,18 @@
 	return t.callJob(ctx, method, path, spec)
 }
 
-// carryOut plans and confirms until a plan runs, and waits for its end.
-func (c *fleetCell) carryOut(ctx context.Context, intent fleet.Intent) error {
+// runPlan makes and confirms plans until one runs, and waits until it is done.
+func (c *fleetCell) runPlan(ctx context.Context, intent fleet.Intent) error {
 	for ctx.Err() == nil {
 		op := c.site.Operator(OperatorToken)
 		p, err := op.Plan(ctx, intent)
 		if err == nil {
 			if _, err = op.Order(ctx, p.ID, fleet.OrderConfirm); err == nil {
-				return c.site.AwaitPlan(ctx, p.ID, fleet.PlanDone) // other entries may not have read it yet
+				return c.site.AwaitPlan(ctx, p.ID, fleet.PlanDone) // the plan may not be visible at other entries yet
 			}
-			// An unknown outcome is looked up before a new plan is made.
+			// If the outcome of the confirmation is unknown, look the plan up before making a new one.
 			time.Sleep(12 * time.Second)
-			if now, lookErr := c.site.Operator(OperatorToken).GetPlan(ctx, p.ID); lookErr == nil && now.State != fleet.PlanProposed {
+			if current, lookErr := c.site.Operator(OperatorToken).GetPlan(ctx, p.ID); lookErr == nil && current.State != fleet.PlanProposed {
 				return c.site.AwaitPlan(ctx, p.ID, fleet.PlanDone)
 			}
 		}
@@ -273,12 +275,12 @@
 	return ctx.Err()
 }
 
-func runFleetCell(step string, after bool, fault fleetFault) (result string, wrong []string) {
+func runFleetCell(step string, after bool, fault fleetFault) (result string, violations []string) {
 	c := &fleetCell{step: step, after: after, fault: fault, armed: true}
-	spec := smallest()
+	spec := smallSpec()
 	spec.Network = new(memnet.Network)
 	spec.CheckpointEvery = 6 * time.Second
-	site, err := startWith(spec, c.probe)
+	site, err := startWithProbe(spec, c.probe)
 	if err != nil {
 		return "", []string{err.Error()}
 	}
@@ -291,58 +293,58 @@
 	loading, stop := context.WithCancel(ctx)
 	var loads sync.WaitGroup
 	loads.Go(func() { load.Run(loading) })
-	begin := time.Now()
+	start := time.Now()
 	applied, err := c.scenario(ctx)
-	took := time.Since(begin)
+	took := time.Since(start)
 	time.Sleep(outage + 10*time.Second)
 	stop()
 	loads.Wait()
 	if err != nil {
-		wrong = append(wrong, fmt.Sprintf("the scenario did not end: %v", err))
+		violations = append(violations, fmt.Sprintf("the scenario did not complete: %v", err))
 	}
-	wrong = append(wrong, c.wrong(ctx, applied, load.Told())...)
+	violations = append(violations, c.violations(ctx, applied, load.Replies())...)
 	h := site.Replay()
-	return fmt.Sprintf("%s, %d requests, moves %d, jobs %v", took.Round(time.Second), len(load.Told()), h.Moves, h.Jobs), wrong
+	return fmt.Sprintf("%s, %d requests, moves %d, jobs %v", took.Round(time.Second), len(load.Replies()), h.Moves, h.Jobs), violations
 }
 
-// wrong lists the promises that the run shows broken.
-func (c *fleetCell) wrong(ctx context.Context, applied bool, told []Told) []string {
-	var wrong []string
-	for _, b := range c.site.Judge(told).Broken() {
+// violations lists the guarantees that the run shows to be violated.
+func (c *fleetCell) violations(ctx context.Context, applied bool, replies []Reply) []string {
+	var out []string
+	for _, b := range c.site.Evaluate(replies).Violations() {
 		crashed := strings.Contains(c.fault.name, "crash") || c.fault.name == "all-replaced"
 		if crashed && strings.Contains(b, "without an answer") {
 			continue // an entry that crashed can't answer
 		}
-		wrong = append(wrong, b)
+		out = append(out, b)
 	}
 	h := c.site.Replay()
-	for budget, m := range h.Margin {
+	for budget, m := range h.MinMargin {
 		if m < 0 {
-			wrong = append(wrong, fmt.Sprintf("a take-out broke the budget of %s", budget))
+			out = append(out, fmt.Sprintf("a drain exceeded the budget of %s", budget))
 		}
 	}
-	for _, id := range h.Doubled {
-		wrong = append(wrong, "job "+id+" ran twice")
+	for _, id := range h.RanTwice {
+		out = append(out, "job "+id+" ran twice")
 	}
-	wrong = append(wrong, c.site.Platform.Cuts()...)
-	if !c.hit {
-		wrong = append(wrong, "the step was never reached")
+	out = append(out, c.site.Platform.Cuts()...)
+	if !c.injected {
+		out = append(out, "the step was never reached")
 	}
-	return append(wrong, c.end(ctx, applied)...)
+	return append(out, c.finalViolations(ctx, applied)...)
 }
 
-// end looks at every entry's own state after everything has healed.
-func (c *fleetCell) end(ctx context.Context, applied bool) (wrong []string) {
-	if !c.agree(ctx) {
-		wrong = append(wrong, "entries differ")
+// finalViolations checks the state of every entry after all faults are over.
+func (c *fleetCell) finalViolations(ctx context.Context, applied bool) (out []string) {
+	if !c.converged(ctx) {
+		out = append(out, "entries differ in offset, version or number of members")
 	}
-	for _, name := range c.entries() {
-		wrong = append(wrong, c.endOf(ctx, name, applied)...)
+	for _, name := range c.entryNames() {
+		out = append(out, c.entryViolations(ctx, name, applied)...)
 	}
-	return wrong
+	return out
 }
 
-func (c *fleetCell) entries() (names []string) {
+func (c *fleetCell) entryNames() (names []string) {
 	for dc := range c.site.Spec.DataCentres {
 		for i := range c.site.Spec.EntriesEach {
 			names = append(names, EntryName(dc, i))
@@ -351,11 +353,12 @@
 	return names
 }
 
-// agree says whether all entries come to the same offset, version and members; a record may be on its way at any one look.
-func (c *fleetCell) agree(ctx context.Context) bool {
+// converged reports whether all entries reach the same offset, version and number of members. It retries for 10 s, since a
+// record may be in transit at any single check.
+func (c *fleetCell) converged(ctx context.Context) bool {
 	for range 20 {
 		seen := make(map[string]bool)
-		for _, name := range c.entries() {
+		for _, name := range c.entryNames() {
 			st, err := c.site.OperatorOf(name, OperatorToken).Status(ctx)
 			seen[fmt.Sprint(err, st.Offset, st.Version, len(st.Entries))] = true
 		}
@@ -367,40 +370,41 @@
 	return false
 }
 
-func (c *fleetCell) endOf(ctx context.Context, name string, applied bool) (wrong []string) {
+func (c *fleetCell) entryViolations(ctx context.Context, name string, applied bool) (out []string) {
 	op := c.site.OperatorOf(name, OperatorToken)
 	st, err := op.Status(ctx)
 	if err != nil {
-		return []string{fmt.Sprintf("entry %s does not answer: %v", name, err)}
+		return []string{fmt.Sprintf("entry %s failed to report its status: %v", name, err)}
 	}
 	conf, err := op.Configuration(ctx)
 	if err != nil || (applied && conf.Configuration.Pool("spare") == nil) {
-		wrong = append(wrong, fmt.Sprintf("entry %s does not follow the accepted configuration", name))
+		out = append(out, fmt.Sprintf("entry %s has not applied the accepted configuration", name))
 	}
 	for _, s := range []fleet.JobState{fleet.JobPending, fleet.JobStarting, fleet.JobRunning, fleet.JobCancelling} {
 		if n := st.Jobs[s]; n > 0 {
-			wrong = append(wrong, fmt.Sprintf("entry %s still has %d jobs %s", name, n, s))
+			out = append(out, fmt.Sprintf("entry %s still has %d jobs in state %s", name, n, s))
 		}
 	}
 	list, err := op.Instances(ctx)
 	if err != nil {
-		wrong = append(wrong, fmt.Sprintf("entry %s does not list instances: %v", name, err))
+		out = append(out, fmt.Sprintf("entry %s failed to list instances: %v", name, err))
 	}
 	for _, in := range list {
 		if !in.Available() {
-			wrong = append(wrong, fmt.Sprintf("instance %s is %s (down %t) at entry %s", in.ID, in.State, in.Down, name))
+			out = append(out, fmt.Sprintf("instance %s is %s (down %t) at entry %s", in.ID, in.State, in.Down, name))
 		}
 	}
-	return wrong
+	return out
 }
 
-// TestFleetFaultMatrix throws every fault before and after every step by which the fleet changes.
+// TestFleetFaultMatrix guards against violated budgets, jobs that run twice and entries that diverge when a fault occurs
+// before or after any step that changes the fleet.
 func TestFleetFaultMatrix(t *testing.T) {
 	var cells []matrixCell
 	for _, step := range fleetSteps() {
 		for _, after := range [...]bool{false, true} {
 			for _, fault := range fleetFaults() {
-				name := fmt.Sprintf("%s %s, %s", when(after), step, fault.name)
+				name := fmt.Sprintf("%s %s, %s", phase(after), step, fault.name)
 				cells = append(cells, matrixCell{name, func() (string, []string) { return runFleetCell(step, after, fault) }})
 			}
 		}
--- a/internal/trial/site_test.go
+++ b/internal/trial/site_test.go
@@ -2,8 +2,8 @@
 
 //go:build !race
 
-// With the race detector the runtime of Go 1.26 fails when a timer's channel is selected on a fake clock
-// (a nil bubble in runtime.(*timer).maybeRunChan), so these tests run without it.
+// These tests run without the race detector: with it, the runtime of Go 1.26 crashes when a timer's channel is selected on
+// a fake clock (a nil bubble in runtime.(*timer).maybeRunChan).
 
 package trial
 
@@ -22,8 +22,8 @@
 	"rackstep.dev/serve"
 )
 
-// fakeSite starts a small site on fake time and publishes its configuration.
-func fakeSite(c *quicktest.C, spec Spec) *Site {
+// startFakeTimeSite starts a small site on fake time and publishes its configuration.
+func startFakeTimeSite(c *quicktest.C, spec Spec) *Site {
 	spec.Network = new(memnet.Network)
 	s, err := Start(spec, nil)
 	c.Assert(err, quicktest.IsNil)
@@ -34,13 +34,13 @@
 	return s
 }
 
-// smallest is a site on which every step can happen.
-func smallest() Spec {
+// smallSpec is the smallest site on which every step of the matrices can occur.
+func smallSpec() Spec {
 	return Spec{DataCentres: 2, EntriesEach: 2, Services: 1, RunnersEach: 4, Workers: 2, Cores: 4, MemoryMB: 1024, RackSize: 2, Spare: 1, RebootTime: time.Second}
 }
 
-// jobsOf returns the site's jobs by ID, as some entry knows them.
-func jobsOf(ctx context.Context, c *quicktest.C, s *Site) map[string]fleet.Job {
+// jobsByID returns the site's jobs by ID, as listed by one entry.
+func jobsByID(ctx context.Context, c *quicktest.C, s *Site) map[string]fleet.Job {
 	c.Helper()
 	rows, err := s.Operator(OperatorToken).Jobs(ctx)
 	c.Assert(err, quicktest.IsNil)
@@ -51,10 +51,12 @@
 	return byID
 }
 
+// TestMaintenanceUnderLoadKeepsEveryPromise guards against requests that fail, run twice or reach an instance during its
+// maintenance while every instance is rebooted under load.
 func TestMaintenanceUnderLoadKeepsEveryPromise(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		load := &Load{Site: s, Callers: 4, Work: 20 * time.Millisecond, Pause: 50 * time.Millisecond}
@@ -70,66 +72,69 @@
 		c.Assert(s.AwaitPlan(ctx, p.ID, fleet.PlanDone), quicktest.IsNil)
 		stop()
 		<-done
-		v := s.Judge(load.Told())
-		c.Assert(v.Broken(), quicktest.HasLen, 0)
+		v := s.Evaluate(load.Replies())
+		c.Assert(v.Violations(), quicktest.HasLen, 0)
 		c.Assert(v.NotRun, quicktest.Equals, 0)
 		c.Assert(v.Whole > 100, quicktest.IsTrue)
 		c.Assert(s.Platform.Cuts(), quicktest.HasLen, 0)
 	})
 }
 
-// TestAtTwiceTheCapacityGoodputStays sends twice what the targets can run and counts whole answers.
+// TestAtTwiceTheCapacityGoodputStays guards against overload that lowers throughput. It sends requests at twice the
+// rate that the targets can process; at least 95% of the capacity must end in complete answers, and requests beyond the queue
+// must be rejected at once.
 func TestAtTwiceTheCapacityGoodputStays(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		spec := smallest()
+		spec := smallSpec()
 		spec.Workers = 0
-		s := fakeSite(c, spec)
+		s := startFakeTimeSite(c, spec)
 		const each, seconds = 100 * time.Millisecond, 4
 		capacity := spec.RunnersEach * fleet.DefaultSlots * int(time.Second/each)
 		load := &Load{Site: s, Work: each}
 		callers := s.Callers()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		late, good := 0, 0
 		begin := time.Now()
 		var mu sync.Mutex
 		for i := range 2 * capacity * seconds {
 			time.Sleep(time.Second / time.Duration(2*capacity))
-			all.Go(func() {
-				told := load.Send(callers[i%len(callers)], load.request(ServiceName(0), fmt.Sprint("m", i), false))
-				load.remember(told)
+			wg.Go(func() {
+				reply := load.Send(callers[i%len(callers)], load.repeatableRequest(ServiceName(0), fmt.Sprint("m", i), false))
+				load.record(reply)
 				mu.Lock()
 				defer mu.Unlock()
 				switch {
-				case told.Reason == serve.ReasonQueueFull && told.Took > 50*time.Millisecond:
+				case reply.Reason == serve.ReasonQueueFull && reply.Latency > 50*time.Millisecond:
 					late++
-				case told.Outcome == serve.OutcomeWhole && time.Since(begin) <= seconds*time.Second:
+				case reply.Outcome == serve.OutcomeWhole && time.Since(begin) <= seconds*time.Second:
 					good++
 				}
 			})
 		}
-		all.Wait()
-		could := float64(capacity) * (seconds*time.Second - each).Seconds() // none can end before the first's time
-		v := s.Judge(load.Told())
-		t.Logf("%d whole answers of the %.0f that the targets could give, %+v", good, could, v)
-		c.Assert(v.Broken(), quicktest.HasLen, 0)
-		c.Assert(float64(good) >= 0.95*could, quicktest.IsTrue)
-		c.Assert(late, quicktest.Equals, 0) // on a fake clock: refused in the same instant
+		wg.Wait()
+		possible := float64(capacity) * (seconds*time.Second - each).Seconds() // no request ends before the first one's processing time
+		v := s.Evaluate(load.Replies())
+		t.Logf("%d whole answers of %.0f possible, %+v", good, possible, v)
+		c.Assert(v.Violations(), quicktest.HasLen, 0)
+		c.Assert(float64(good) >= 0.95*possible, quicktest.IsTrue)
+		c.Assert(late, quicktest.Equals, 0) // a rejection takes no time on the fake clock
 	})
 }
 
-// TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost runs two jobs on one worker that use twice what they declare.
+// TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost guards against jobs that are killed or started again because they
+// exceed their declared cores. Two jobs share a worker and each uses more than it declares; both must be throttled and finish.
 func TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
 		for _, id := range [...]string{"first", "second"} {
 			c.Assert(run.submit(ctx, fleet.JobSpec{ID: id, Pool: BatchPool, Cores: 2, RunTime: fleet.Duration(20 * time.Second), Command: "run 20s use 3.2"}), quicktest.IsNil)
 		}
-		jobs := func() map[string]fleet.Job { return jobsOf(ctx, c, s) }
+		jobs := func() map[string]fleet.Job { return jobsByID(ctx, c, s) }
 		c.Assert(s.Await(ctx, func() bool { return jobs()["first"].Limit > 0 && jobs()["second"].Limit > 0 }), quicktest.IsNil)
 		c.Assert(jobs()["first"].Used.Cores, quicktest.Equals, 4)
 		c.Assert(s.Await(ctx, func() bool { return jobs()["first"].State == fleet.JobDone && jobs()["second"].State == fleet.JobDone }), quicktest.IsNil)
@@ -139,11 +144,12 @@
 	})
 }
 
-// TestJobsOutliveALongOutageOfTheLog has the log down for longer than a task's lease.
+// TestJobsOutliveALongOutageOfTheLog guards against jobs that are lost or started again when the log is down for longer than
+// the lease of a task; one job ends during the outage and one after it.
 func TestJobsOutliveALongOutageOfTheLog(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
@@ -151,14 +157,14 @@
 			c.Assert(run.submit(ctx, fleet.JobSpec{ID: id, Pool: BatchPool, Cores: 2, RunTime: fleet.Duration(time.Minute), Command: command}), quicktest.IsNil)
 		}
 		c.Assert(s.Await(ctx, func() bool {
-			jobs := jobsOf(ctx, c, s)
+			jobs := jobsByID(ctx, c, s)
 			return jobs["ends-after-it"].State == fleet.JobRunning && jobs["ends-during-it"].State == fleet.JobRunning
 		}), quicktest.IsNil)
 		s.Platform.SetFaults(standin.Faults{LogDown: true})
 		time.Sleep(4 * time.Minute)
 		s.Platform.SetFaults(standin.Faults{})
 		time.Sleep(4 * time.Minute)
-		for id, j := range jobsOf(ctx, c, s) {
+		for id, j := range jobsByID(ctx, c, s) {
 			c.Assert(j.State, quicktest.Equals, fleet.JobDone, quicktest.Commentf("%s: %s", id, j.Note))
 		}
 		for id, n := range s.Platform.Starts() {
@@ -167,11 +173,12 @@
 	})
 }
 
-// TestUrgentWorkStartsInTimeWhenEverythingIsFull fills every worker and then submits an urgent job.
+// TestUrgentWorkStartsInTimeWhenEverythingIsFull guards against an urgent job that waits for running jobs to end. Every core
+// is in use when it is submitted, so an ordinary job must yield by a checkpoint and later finish without starting over.
 func TestUrgentWorkStartsInTimeWhenEverythingIsFull(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		s := fakeSite(c, smallest())
+		s := startFakeTimeSite(c, smallSpec())
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 		defer cancel()
 		run := trialRun{site: s}
@@ -181,14 +188,14 @@
 		}
 		in := func(state fleet.JobState) map[string]bool {
 			ids := make(map[string]bool)
-			for id, j := range jobsOf(ctx, c, s) {
+			for id, j := range jobsByID(ctx, c, s) {
 				if j.State == state {
 					ids[id] = true
 				}
 			}
 			return ids
 		}
-		for i := range 5 { // room for four
+		for i := range 5 { // four fit
 			submit(fmt.Sprint("ordinary-", i), false)
 		}
 		c.Assert(s.Await(ctx, func() bool { return len(in(fleet.JobRunning)) == 4 }), quicktest.IsNil)
@@ -196,7 +203,7 @@
 		submit("urgent", true)
 		c.Assert(s.Await(ctx, func() bool { return in(fleet.JobRunning)["urgent"] }), quicktest.IsNil)
 		took := time.Since(begin)
-		t.Logf("the urgent job ran after %s of the fake clock", took)
+		t.Logf("the urgent job ran after %s of fake time", took)
 		c.Assert(took <= 3500*time.Millisecond, quicktest.IsTrue)
 		c.Assert(s.Await(ctx, func() bool { return len(in(fleet.JobDone)) == 6 }), quicktest.IsNil)
 		for id, n := range s.Platform.Starts() {
