--- a/cmd/rackstep/capacity.go
+++ b/cmd/rackstep/capacity.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	lost, err := s.Lose(ctx, c.String("rack"), c.String("centre"))
+	lost, err := s.RemoveInstances(ctx, c.String("rack"), c.String("centre"))
 	if err != nil {
 		return cli.Exit(err, exitFailed)
 	}
@@ -138,7 +138,7 @@
 	at := capacity.Size{Entries: c.Int("entries"), Workers: c.Int("workers")}
 	var fits []capacity.Fit
 	for _, fig := range capacity.Figures() {
-		f, err := capacity.FitOf(fig, idle)
+		f, err := capacity.FitPoints(fig, idle)
 		if err != nil {
 			return cli.Exit(err, exitFailed)
 		}
@@ -155,7 +155,7 @@
 func printFits(w *table, points []capacity.Point, fits []capacity.Fit, at capacity.Size, jobs int) {
 	w.header("LOAD", "ENTRIES", "CENTRES", "WORKERS", "POOLS", "TEAMS", "JOBS", "CPU %", "MOST", "MEMORY MB", "PEERS KB/s", "PLATFORM KB/s", "RECORDS/s")
 	for _, p := range points {
-		w.row(p.Load, p.Entries, p.Centres, p.Workers, p.Pools, p.Teams, p.Jobs, fmt.Sprintf("%.2f", p.CPU), fmt.Sprintf("%.2f", p.MostCPU), fmt.Sprintf("%.1f", p.Memory/1e6),
+		w.row(p.Load, p.Entries, p.Centres, p.Workers, p.Pools, p.Teams, p.Jobs, fmt.Sprintf("%.2f", p.CPU), fmt.Sprintf("%.2f", p.MaxCPU), fmt.Sprintf("%.1f", p.Memory/1e6),
 			fmt.Sprintf("%.2f", p.PeerBytes/1e3), fmt.Sprintf("%.2f", p.PlatformBytes/1e3), fmt.Sprintf("%.2f", p.Records))
 	}
 	w.header("FIGURE", "BASE", "PER ENTRY", "PER WORKER", "PER JOB", "ERROR", fmt.Sprintf("AT %d ENTRIES, %d WORKERS, %d JOBS", at.Entries, at.Workers, jobs), "LIMIT")
@@ -182,7 +182,7 @@
 		if x.Load != "idle" || x.Jobs > 0 {
 			continue
 		}
-		lines[x.Workers] = append(lines[x.Workers], plotter.XY{X: float64(x.Entries), Y: fig.Of(x)})
+		lines[x.Workers] = append(lines[x.Workers], plotter.XY{X: float64(x.Entries), Y: fig.Value(x)})
 	}
 	for _, workers := range sortedKeys(lines) {
 		args = append(args, fmt.Sprintf("%d workers", workers), lines[workers])
--- a/cmd/rackstep/try.go
+++ b/cmd/rackstep/try.go
@@ -33,13 +33,13 @@
 		}
 		return nil
 	}
-	spec, err := trial.Sizes(c.String("sizes"))
+	spec, err := trial.NamedSpec(c.String("sizes"))
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
 	if c.String("fault") == "list" {
 		for _, f := range trial.Faults() {
-			fmt.Printf("%-18s %s\n", f.Name, f.Meaning)
+			fmt.Printf("%-18s %s\n", f.Name, f.Description)
 		}
 		return nil
 	}
@@ -51,8 +51,8 @@
 	if err != nil {
 		return cli.Exit(err, exitFailed)
 	}
-	if len(r.Broken) > 0 {
-		return cli.Exit(fmt.Sprintf("%d promises were broken", len(r.Broken)), exitFailed)
+	if len(r.Violations) > 0 {
+		return cli.Exit(fmt.Sprintf("%d promises were broken", len(r.Violations)), exitFailed)
 	}
 	return nil
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -12,9 +12,9 @@
 
 // Figure is one quantity derived from a Point.
 type Figure struct {
-	Name string              `json:"name"`
-	Unit string              `json:"unit"`
-	Of   func(Point) float64 `json:"-"`
+	Name  string              `json:"name"`
+	Unit  string              `json:"unit"`
+	Value func(Point) float64 `json:"-"`
 	// Limit is the highest value that the requirements allow for one node; 0 means no limit.
 	Limit float64 `json:"limit,omitempty"`
 }
@@ -62,7 +62,7 @@
 }
 
 // FitPoints fits the figure to the points by least squares; it fails with fewer points than coefficients.
-func FitOf(fig Figure, points []Point) (Fit, error) {
+func FitPoints(fig Figure, points []Point) (Fit, error) {
 	vars := regressors(points)
 	if len(points) < len(vars) {
 		return Fit{}, fmt.Errorf("%d points are too few to fit %d coefficients; measure more sizes", len(points), len(vars))
@@ -73,7 +73,7 @@
 		for k, x := range vars {
 			a.Set(i, k, x(p))
 		}
-		b.Set(i, 0, fig.Of(p))
+		b.Set(i, 0, fig.Value(p))
 	}
 	var x mat.Dense
 	if err := x.Solve(a, b); err != nil {
@@ -85,7 +85,7 @@
 	}
 	sum := 0.0
 	for _, p := range points {
-		d := fig.Of(p) - f.At(p.Size, p.Jobs)
+		d := fig.Value(p) - f.At(p.Size, p.Jobs)
 		sum += d * d
 	}
 	f.Error = math.Sqrt(sum / float64(len(points)))
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -23,12 +23,12 @@
 			}
 		}
 	}
-	f, err := FitOf(Figures()[0], points)
+	f, err := FitPoints(Figures()[0], points)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(math.Abs(f.PerEntry-0.01) < 1e-9 && math.Abs(f.PerWorker-0.001) < 1e-9 && math.Abs(f.PerJob-0.0002) < 1e-9 && f.Error < 1e-9, quicktest.IsTrue, quicktest.Commentf("%+v", f))
 	c.Assert(math.Abs(f.At(Size{Entries: 64, Workers: 100}, 500)-1.34) < 1e-9, quicktest.IsTrue)
 	_, err = json.Marshal(f)
 	c.Assert(err, quicktest.IsNil)
-	_, err = FitOf(Figures()[0], points[:3])
+	_, err = FitPoints(Figures()[0], points[:3])
 	c.Assert(err, quicktest.IsNotNil)
 }
--- a/internal/capacity/remove.go
+++ b/internal/capacity/remove.go
@@ -12,7 +12,7 @@
 // their IDs.
 //
 // The caller must stop the processes of removed entries.
-func (s Size) Lose(ctx context.Context, rack, centre string) ([]string, error) {
+func (s Size) RemoveInstances(ctx context.Context, rack, centre string) ([]string, error) {
 	var removed []string
 	for _, in := range s.standin().Instances {
 		if in.Rack == rack && rack != "" || in.DataCentre == centre {
--- a/internal/capacity/sample.go
+++ b/internal/capacity/sample.go
@@ -26,7 +26,7 @@
 	// Jobs is the number of running jobs at the end of the measurement.
 	Jobs int `json:"jobs"`
 	// MaxCPU and MaxBytes are the highest values of any entry.
-	MostCPU  float64 `json:"most_cpu_percent"`
+	MaxCPU   float64 `json:"most_cpu_percent"`
 	MaxBytes float64 `json:"most_bytes_per_second"`
 	// CPU is in percent of one core; Memory is the resident set in bytes.
 	CPU    float64 `json:"cpu_percent"`
@@ -167,7 +167,7 @@
 		p.Memory += a.memory / n
 		p.PeerBytes += peers / n
 		p.PlatformBytes += platform / n
-		p.MostCPU = max(p.MostCPU, cpu)
+		p.MaxCPU = max(p.MaxCPU, cpu)
 		p.MaxBytes = max(p.MaxBytes, peers+platform)
 	}
 	p.Jobs = after[0].status.Jobs[fleet.JobRunning]
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -23,9 +23,9 @@
 
 // Fault is a named failure that a trial injects while the plan runs.
 type Fault struct {
-	Name, Meaning string
-	inject        func(s *Site)
-	clear         func(s *Site)
+	Name, Description string
+	inject            func(s *Site)
+	clear             func(s *Site)
 }
 
 // Faults returns the faults that a trial can inject.
@@ -68,7 +68,7 @@
 	RollOut time.Duration
 	// PlatformViolations lists the commands that interrupted a task or a request on their machine.
 	PlatformViolations []string
-	Broken             []string
+	Violations         []string
 }
 
 // Options configures Run.
@@ -125,7 +125,7 @@
 		return Result{}, err
 	}
 	r := Result{Requests: t.site.Evaluate(load.Replies()), History: t.site.Replay(), RollOut: t.rollOut, PlatformViolations: t.site.Platform.Cuts()}
-	r.Broken = r.violations()
+	r.Violations = r.violations()
 	t.printReport(r)
 	return r, nil
 }
@@ -139,7 +139,7 @@
 		return err
 	}
 	if t.options.Fault.Name != "" {
-		t.logf("fault %s: %s", t.options.Fault.Name, t.options.Fault.Meaning)
+		t.logf("fault %s: %s", t.options.Fault.Name, t.options.Fault.Description)
 		t.options.Fault.inject(t.site)
 		time.AfterFunc(faultTime, func() {
 			t.options.Fault.clear(t.site)
@@ -294,9 +294,9 @@
 	fmt.Fprintf(out, "budgets: lowest margin %d\n", lowest)
 	fmt.Fprintf(out, "jobs: %v\n", r.History.Jobs)
 	fmt.Fprintf(out, "roll-out time %s, buffer %d instances, job moves %d\n", r.RollOut.Round(10*time.Millisecond), r.History.MaxOut, r.History.Moves)
-	if len(r.Broken) == 0 {
+	if len(r.Violations) == 0 {
 		fmt.Fprintln(out, "all guarantees were kept")
 		return
 	}
-	fmt.Fprintf(out, "VIOLATIONS:\n  %s\n", strings.Join(r.Broken, "\n  "))
+	fmt.Fprintf(out, "VIOLATIONS:\n  %s\n", strings.Join(r.Violations, "\n  "))
 }
--- a/internal/trial/spec.go
+++ b/internal/trial/spec.go
@@ -38,7 +38,7 @@
 }
 
 // NamedSpec returns the specification of the named size: small, muscat or norrskalv.
-func Sizes(name string) (Spec, error) {
+func NamedSpec(name string) (Spec, error) {
 	s := Spec{DataCentres: 4, EntriesEach: 2, Services: 2, RunnersEach: 8, Workers: 8, Cores: 16, MemoryMB: 32 << 10, RackSize: 4, Spare: 2,
 		Weights: fleet.Weights{RollOut: 1, Buffer: 1, Moves: 0.5}, RebootTime: time.Second}
 	switch name {
