--- a/entry/relay.go
+++ b/entry/relay.go
@@ -144,7 +144,7 @@
 }
 
 // relay makes a call to the store through a peer. It tries the next peer when one has not made the call, or when the store may have
-// turned away only that one; the error is platform.ErrRelayUnsent or platform.ErrRelayLost.
+// turned away only that one; the error is platform.ErrRelayNotSent or platform.ErrRelayNoResponse.
 func (n *Node) relay(ctx context.Context, c platform.StoreRequest) (platform.StoreResponse, error) {
 	remaining := defaultRelayTimeout
 	if d, ok := ctx.Deadline(); ok {
--- a/event/history_test.go
+++ b/event/history_test.go
@@ -10,9 +10,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestAStoryIsCausalWhateverTheClocksSay checks that the entry that accepts a job comes before the leader that reads it, also when the
+// TestAJobHistoryIsCausalWhateverTheClocksSay checks that the entry that accepts a job comes before the leader that reads it, also when the
 // accepting entry's clock is ahead, and that lines of other jobs and lines that are not events are left out.
-func TestAStoryIsCausalWhateverTheClocksSay(t *testing.T) {
+func TestAJobHistoryIsCausalWhateverTheClocksSay(t *testing.T) {
 	c := quicktest.New(t)
 	acceptor := `time=2030-01-01T00:00:05Z entry=a event=810 name=job-taken job=00000000000000a1 text="submit end=3"
 not a line
--- a/event/losses_test.go
+++ b/event/losses_test.go
@@ -18,9 +18,9 @@
 	return read
 }
 
-// TestEachSecondOfAJobHasOneOwner follows a two-step job with a refused submission, a failed run and a silent worker. Each phase must get
+// TestEachMomentOfAJobHasOnePhase follows a two-step job with a refused submission, a failed run and a silent worker. Each phase must get
 // its part of the time, a step that runs counts by its last task only, and a lasting job is left out.
-func TestEachSecondOfAJobHasOneOwner(t *testing.T) {
+func TestEachMomentOfAJobHasOnePhase(t *testing.T) {
 	c := quicktest.New(t)
 	entry := readLines(c, "e1",
 		`01.000 event=811 name=job-refused job=00000000000000a1 text="submit queue=q end=0 tries=0 took=0s"`,
@@ -77,9 +77,9 @@
 	c.Assert(rows[0].Means, quicktest.DeepEquals, [phaseCount]time.Duration{WaitingForCapacity: ms(100), FailedRun: ms(400), WorkerUnreachable: ms(3000), WaitingForRetry: ms(100), SuccessfulRun: ms(1000), Storing: ms(100)})
 }
 
-// TestOwnersAddUpToAJobsTime generates logs with missing, repeated and reordered lines. The phases of the job must add up to its total
+// TestPhasesAddUpToAJobsTime generates logs with missing, repeated and reordered lines. The phases of the job must add up to its total
 // time in every case.
-func TestOwnersAddUpToAJobsTime(t *testing.T) {
+func TestPhasesAddUpToAJobsTime(t *testing.T) {
 	c := quicktest.New(t)
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 1))
--- a/fleet/fold_test.go
+++ b/fleet/fold_test.go
@@ -313,9 +313,9 @@
 	return Record{Settle: &s}
 }
 
-// TestFoldKeepsItsRulesWhateverIsWritten applies random sequences of records, including late and duplicate ones, and checks the
+// TestFoldInvariants applies random sequences of records, including late and duplicate ones, and checks the
 // fold's invariants after each. A second fold of the same log, with a checkpoint in between, must give equal tables.
-func TestFoldKeepsItsRulesWhateverIsWritten(t *testing.T) {
+func TestFoldInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle()
 		for range rapid.IntRange(1, 120).Draw(t, "records") {
@@ -394,9 +394,9 @@
 	c.Assert(o.t.Configuration.Weights.Moves, quicktest.Equals, 1.0)
 }
 
-// TestABadWorkerIsToldFromABadJob fails several jobs on one worker, which must be quarantined, and one job on several workers, which
+// TestFaultyWorkerIsDistinguishedFromFaultyJob fails several jobs on one worker, which must be quarantined, and one job on several workers, which
 // must be parked while the workers stay in use.
-func TestABadWorkerIsToldFromABadJob(t *testing.T) {
+func TestFaultyWorkerIsDistinguishedFromFaultyJob(t *testing.T) {
 	c := quicktest.New(t)
 	o := newOracle()
 	run := func(job, instance string, outcome Outcome) {
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -10,9 +10,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestAFitFindsTheSlopesThatMadeThePoints fits points of a known linear model and expects its coefficients. The function
+// TestFitRecoversTheSlopes fits points of a known linear model and expects its coefficients. The function
 // in a Figure must not keep the fit from being encoded as JSON, and too few points must give an error.
-func TestAFitFindsTheSlopesThatMadeThePoints(t *testing.T) {
+func TestFitRecoversTheSlopes(t *testing.T) {
 	c := quicktest.New(t)
 	var points []Point
 	for _, entries := range [...]int{8, 16, 32} {
--- a/internal/drive/simulate_test.go
+++ b/internal/drive/simulate_test.go
@@ -9,9 +9,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestAWaveEndsWithinTheBudgets guards against a wave that never completes and against drains that exceed a budget. With a
+// TestWaveCompletesWithinTheBudgets guards against a wave that never completes and against drains that exceed a budget. With a
 // failed rack a budget may be exceeded without any drain, so only completion is checked.
-func TestAWaveEndsWithinTheBudgets(t *testing.T) {
+func TestWaveCompletesWithinTheBudgets(t *testing.T) {
 	for _, p := range [...]Policy{{}, {Baseline: true}, {RackFails: true}, {Declared: true}} {
 		c := quicktest.New(t)
 		r := SimulateWave(Muscat(), p, 1)
--- a/internal/trial/leader_test.go
+++ b/internal/trial/leader_test.go
@@ -15,9 +15,9 @@
 	"rackstep.dev/route"
 )
 
-// TestJobsAreSoonPlacedWhenTheirLeaderDies guards against jobs that stay queued after the entry that places jobs
+// TestJobsArePlacedSoonAfterTheirLeaderCrashes guards against jobs that stay queued after the entry that places jobs
 // crashes. The other entries notice the crash only after half a minute, so the next in line must place the job before that.
-func TestJobsAreSoonPlacedWhenTheirLeaderDies(t *testing.T) {
+func TestJobsArePlacedSoonAfterTheirLeaderCrashes(t *testing.T) {
 	for _, urgent := range [...]bool{false, true} {
 		inBubble(t, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestJobsOutliveTheEntriesOfTheirDataCentre guards against a job that is lost or started again when the entries that renew
+// TestJobsSurviveCrashOfEntriesInTheirDataCentre guards against a job that is lost or started again when the entries that renew
 // its lease crash. Entries of the other data centre must take over before the lease expires.
-func TestJobsOutliveTheEntriesOfTheirDataCentre(t *testing.T) {
+func TestJobsSurviveCrashOfEntriesInTheirDataCentre(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		spec := smallSpec()
--- a/internal/trial/platform_test.go
+++ b/internal/trial/platform_test.go
@@ -13,9 +13,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// TestATrialOnThePlatformLosesItsLeaderAndNothingElse guards against jobs that are lost or run twice when the leader is
+// TestPlatformJobsSurviveIsolationOfTheLeader guards against jobs that are lost or run twice when the leader is
 // isolated from the store, the machines and its peers while jobs run.
-func TestATrialOnThePlatformLosesItsLeaderAndNothingElse(t *testing.T) {
+func TestPlatformJobsSurviveIsolationOfTheLeader(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/trial/regions_test.go
+++ b/internal/trial/regions_test.go
@@ -35,10 +35,10 @@
 	}
 }
 
-// TestRegionsThatLoseEachOtherServeOnAndAgreeSoonAfter partitions two regions, of which only the first reaches the platform.
+// TestPartitionedRegionsServeAndConverge partitions two regions, of which only the first reaches the platform.
 // It guards against a second region that stops serving or runs a request that it can't claim, and against one that misses
 // the configuration published meanwhile.
-func TestRegionsThatLoseEachOtherServeOnAndAgreeSoonAfter(t *testing.T) {
+func TestPartitionedRegionsServeAndConverge(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		spec := smallSpec()
--- a/internal/trial/report_test.go
+++ b/internal/trial/report_test.go
@@ -10,10 +10,10 @@
 	"rackstep.dev/fleet"
 )
 
-// TestATakeOutIsJudgedByTheBudgetsOfItsInstance guards against a false violation for a budget that doesn't cover the
+// TestDrainIsCheckedAgainstBudgetsOfItsInstanceOnly guards against a false violation for a budget that doesn't cover the
 // drained instance. Worker 1 is in maintenance and worker 2 dies, which exceeds the budget of their pool; then a runner of another
 // pool begins to drain. The cell "after order, instances-die" of the fleet matrix hits this in about one of 200 runs.
-func TestATakeOutIsJudgedByTheBudgetsOfItsInstance(t *testing.T) {
+func TestDrainIsCheckedAgainstBudgetsOfItsInstanceOnly(t *testing.T) {
 	c := quicktest.New(t)
 	tables := fleet.New()
 	tables.Configuration = fleet.Configuration{Pools: []fleet.Pool{{Name: "batch", MinAvailable: 1}, {Name: "service", MinAvailable: 1}}}
--- a/internal/trial/site_test.go
+++ b/internal/trial/site_test.go
@@ -51,9 +51,9 @@
 	return byID
 }
 
-// TestMaintenanceUnderLoadKeepsEveryPromise guards against requests that fail, run twice or reach an instance during its
+// TestMaintenanceUnderLoadKeepsEveryGuarantee guards against requests that fail, run twice or reach an instance during its
 // maintenance while every instance is rebooted under load.
-func TestMaintenanceUnderLoadKeepsEveryPromise(t *testing.T) {
+func TestMaintenanceUnderLoadKeepsEveryGuarantee(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		s := startFakeTimeSite(c, smallSpec())
@@ -80,10 +80,10 @@
 	})
 }
 
-// TestAtTwiceTheCapacityGoodputStays guards against overload that lowers throughput. It sends requests at twice the
+// TestGoodputAtTwiceTheCapacity guards against overload that lowers throughput. It sends requests at twice the
 // rate that the targets can process; at least 95% of the capacity must end in complete answers, and requests beyond the queue
 // must be rejected at once.
-func TestAtTwiceTheCapacityGoodputStays(t *testing.T) {
+func TestGoodputAtTwiceTheCapacity(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		spec := smallSpec()
@@ -122,9 +122,9 @@
 	})
 }
 
-// TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost guards against jobs that are killed or started again because they
+// TestOverusingJobsAreThrottledAndFinish guards against jobs that are killed or started again because they
 // exceed their declared cores. Two jobs share a worker and each uses more than it declares; both must be throttled and finish.
-func TestAJobThatUsesTooMuchIsHeldBackAndNothingIsLost(t *testing.T) {
+func TestOverusingJobsAreThrottledAndFinish(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		s := startFakeTimeSite(c, smallSpec())
@@ -144,9 +144,9 @@
 	})
 }
 
-// TestJobsOutliveALongOutageOfTheLog guards against jobs that are lost or started again when the log is down for longer than
+// TestJobsSurviveALongLogOutage guards against jobs that are lost or started again when the log is down for longer than
 // the lease of a task; one job ends during the outage and one after it.
-func TestJobsOutliveALongOutageOfTheLog(t *testing.T) {
+func TestJobsSurviveALongLogOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		s := startFakeTimeSite(c, smallSpec())
@@ -173,9 +173,9 @@
 	})
 }
 
-// TestUrgentWorkStartsInTimeWhenEverythingIsFull guards against an urgent job that waits for running jobs to end. Every core
+// TestUrgentJobStartsInTimeOnFullWorkers guards against an urgent job that waits for running jobs to end. Every core
 // is in use when it is submitted, so an ordinary job must yield by a checkpoint and later finish without starting over.
-func TestUrgentWorkStartsInTimeWhenEverythingIsFull(t *testing.T) {
+func TestUrgentJobStartsInTimeOnFullWorkers(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		s := startFakeTimeSite(c, smallSpec())
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -102,7 +102,7 @@
 }
 
 // Compares a job with its copy restored from the stored state, after random successes, failures and starts.
-func TestWhatIsKeptBringsAJobBack(t *testing.T) {
+func TestAJobIsRestoredFromItsStoredState(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		j := New(twoSteps(), start)
 		for range rapid.IntRange(0, 12).Draw(r, "ends") {
--- a/job/lost_test.go
+++ b/job/lost_test.go
@@ -15,7 +15,7 @@
 	return job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 2, Lasting: lasting}}}, time.Now())
 }
 
-func TestATaskIsHopelessByWhatItsLostRunsProve(t *testing.T) {
+func TestLossLimitDependsOnTheEvidence(t *testing.T) {
 	plain := job.LostRun{Suspects: 5}
 	isolated := job.LostRun{Suspects: 1, Isolated: true}
 	conclusive := job.LostRun{Suspects: 1, Isolated: true, Conclusive: true}
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAMemberOfAGangIsHopelessWithoutATrial(t *testing.T) {
+func TestAMemberOfAGangIsGivenUpWithoutATrial(t *testing.T) {
 	c := quicktest.New(t)
 	j := lostJob(false)
 	j.Spec.Steps[0].Gang = true
--- a/keep/writer_test.go
+++ b/keep/writer_test.go
@@ -67,10 +67,10 @@
 	return &Writer{Call: s.append, Name: "w", Epoch: 1, MaxRecordBytes: 100, OnFailure: func(error) {}, OnRecovery: func() {}}
 }
 
-// TestARecordThatIsTooLongCostsItselfAlone guards against one bad record that blocks all later ones. A leader that kept all workers
+// TestOversizedRecordIsSetAsideAlone guards against one bad record that blocks all later ones. A leader that kept all workers
 // in one record exceeded the store's limit at some 3,500 workers. The permanent refusal (status 400) was treated as an outage and
 // retried for ever, so that 7,303 of 14,267 task completions behind it were never stored.
-func TestARecordThatIsTooLongCostsItselfAlone(t *testing.T) {
+func TestOversizedRecordIsSetAsideAlone(t *testing.T) {
 	for _, x := range [...]struct {
 		name string
 		// bounded is set when the writer knows the limit, so that the record is never sent.
@@ -100,16 +100,16 @@
 	}
 }
 
-func TestALaterTermEndsTheWriter(t *testing.T) {
+func TestWriterEndsWhenFenced(t *testing.T) {
 	s := newFakeStore()
 	s.epoch = 2
 	_, err := s.writer().Append(context.Background(), []feed.KeyedRecord{{Key: "a"}})
 	quicktest.Assert(t, err, quicktest.ErrorAs, new(*feed.FencedError))
 }
 
-// TestWhateverTheStoreAnswersAllButBadRecordsAreKept appends random batches with records that are refused, while calls fail or are
+// TestAllButRefusedRecordsAreStored appends random batches with records that are refused, while calls fail or are
 // not answered. Exactly the refused records must be reported, and all others stored.
-func TestWhateverTheStoreAnswersAllButBadRecordsAreKept(t *testing.T) {
+func TestAllButRefusedRecordsAreStored(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		batches := rapid.SliceOfN(rapid.SliceOfN(rapid.SliceOfN(rapid.SampledFrom([]byte("abx")), 1, 120), 1, 9), 1, 5).Draw(r, "batches")
 		faults := rapid.SliceOfN(rapid.IntRange(0, 2), 0, 30).Draw(r, "faults")
@@ -172,7 +172,7 @@
 	return ""
 }
 
-func TestRowsComeInTheOrderOfTheirFirstChange(t *testing.T) {
+func TestDirtyRowsPopInOrderOfFirstChange(t *testing.T) {
 	c := quicktest.New(t)
 	var x DirtyRows[int]
 	x.Add("a", 1)
--- a/lead/elector_test.go
+++ b/lead/elector_test.go
@@ -248,7 +248,7 @@
 	})
 }
 
-func TestSilenceLastsWhileTheStoreDoesNotAnswer(t *testing.T) {
+func TestUnansweredForGrowsWhileStoreIsDown(t *testing.T) {
 	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 2)
 		time.Sleep(3 * time.Second)
@@ -282,8 +282,8 @@
 	})
 }
 
-// TestTheNextLeaderKnowsOfALooseOne checks that a leader's notice of unstored orders reaches its successor.
-func TestTheNextLeaderKnowsOfALooseOne(t *testing.T) {
+// TestNextLeaderKnowsOfUnstoredOrders checks that a leader's notice of unstored orders reaches its successor.
+func TestNextLeaderKnowsOfUnstoredOrders(t *testing.T) {
 	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 2)
 		time.Sleep(6 * time.Second)
@@ -297,7 +297,7 @@
 	})
 }
 
-func TestWithoutAnOutageNothingIsCoarse(t *testing.T) {
+func TestNoUnstoredOrdersWithoutOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		g := newGroup(t, 3)
 		time.Sleep(10 * time.Second)
--- a/lead/renewal_date_test.go
+++ b/lead/renewal_date_test.go
@@ -16,10 +16,10 @@
 	"rackstep.dev/feed"
 )
 
-// TestARenewalThatIsReadLateCountsFromWhenItCanHaveCome stalls a candidate while a renewal waits to be read. The age of the last
+// TestRenewalReadLateIsNotDatedByReadTime stalls a candidate while a renewal waits to be read. The age of the last
 // renewal bounds what the old leader may have done since. A renewal dated by the time of reading looks too recent and hides that
 // the leader has gone on without the store.
-func TestARenewalThatIsReadLateCountsFromWhenItCanHaveCome(t *testing.T) {
+func TestRenewalReadLateIsNotDatedByReadTime(t *testing.T) {
 	for _, stall := range [...]time.Duration{700 * time.Millisecond, 1500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
--- a/lead/slow_store_test.go
+++ b/lead/slow_store_test.go
@@ -171,9 +171,9 @@
 	quicktest.Assert(t, taken > 90, quicktest.IsTrue, quicktest.Commentf("%d terms", taken))
 }
 
-// TestALeaderWhoseWayFallsSilentTakesAnother has the leader's direct route to the store hang. A call that fails there makes the
+// TestLeaderSwitchesRouteWhenOneHangs has the leader's direct route to the store hang. A call that fails there makes the
 // following calls take another route, as the store adapter does, and the leader must keep its term.
-func TestALeaderWhoseWayFallsSilentTakesAnother(t *testing.T) {
+func TestLeaderSwitchesRouteWhenOneHangs(t *testing.T) {
 	inBubble(t, func(t *testing.T, c *quicktest.C) {
 		silent := ""
 		known := make(map[string]bool)
--- a/lead/take_term_test.go
+++ b/lead/take_term_test.go
@@ -17,10 +17,10 @@
 	"rackstep.dev/feed"
 )
 
-// TestWhoIsToldOfAnothersRecordDoesNotLead has two candidates draw the same fence for one term. The store takes the second record
+// TestCandidateWithSharedFenceDoesNotLead has two candidates draw the same fence for one term. The store takes the second record
 // for a repetition of the first and repeats its answer, so both candidates are told that their append succeeded. Only the first
 // may lead.
-func TestWhoIsToldOfAnothersRecordDoesNotLead(t *testing.T) {
+func TestCandidateWithSharedFenceDoesNotLead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -92,10 +92,10 @@
 	})
 }
 
-// TestALeadIsTakenWhileTheStoreForgets has the store trim its history repeatedly, so that a term's record is gone when it is read
+// TestTermIsTakenWhileStoreTrims has the store trim its history repeatedly, so that a term's record is gone when it is read
 // back by offset. In a soak test (seed 109) no entry could become leader from then on. The newest record of the key is never
 // trimmed and shows whose term it is.
-func TestALeadIsTakenWhileTheStoreForgets(t *testing.T) {
+func TestTermIsTakenWhileStoreTrims(t *testing.T) {
 	for _, follower := range [...]string{"", "b"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
--- a/maintenance/bursts_test.go
+++ b/maintenance/bursts_test.go
@@ -38,13 +38,13 @@
 
 var start = time.Unix(1000, 0)
 
-func TestTurnsAreExpectedInTheirOrder(t *testing.T) {
+func TestBurstsAreExpectedInTheirOrder(t *testing.T) {
 	got := round(new(Bursts), start, []string{"a", "b", "c"}, 8, 4*time.Second)
 	// After the first burst no interval is known; after the second only c has had none; then the order repeats.
 	quicktest.Assert(t, got, quicktest.DeepEquals, []string{"", "c:12", "a:12", "b:12", "c:12", "a:12", "b:12", "c:12"})
 }
 
-func TestAPoolWithoutTurnsIsExpectedInTheFirstRoundOnly(t *testing.T) {
+func TestAPoolWithoutBurstsIsExpectedInTheFirstRoundOnly(t *testing.T) {
 	c := quicktest.New(t)
 	bursts := new(Bursts)
 	bursts.Observe("idle", Load{Have: 20}, start)
@@ -55,7 +55,7 @@
 	c.Assert(bursts.DemandUnknown("idle"), quicktest.IsFalse)
 }
 
-func TestAPoolThatMissesItsTurnIsNotExpectedAgain(t *testing.T) {
+func TestAPoolThatMissesItsBurstIsNotExpectedAgain(t *testing.T) {
 	c := quicktest.New(t)
 	bursts := new(Bursts)
 	round(bursts, start, []string{"a", "b", "c"}, 6, 4*time.Second)
@@ -72,7 +72,7 @@
 // A pool of a thousand instances always has some at work. This base load was once taken for the pool's first burst,
 // so that bursts seemed to need hardly anything and the pool was moved to the headroom in the first second of its
 // real burst.
-func TestWhatIsAlwaysThereIsNoTurn(t *testing.T) {
+func TestBaseLoadIsNoBurst(t *testing.T) {
 	c := quicktest.New(t)
 	bursts := new(Bursts)
 	now := start
@@ -99,7 +99,7 @@
 
 // Checks that the usage of the very first burst becomes the estimate for other pools once it has lasted for
 // settledAfter.
-func TestATurnThatHasGoneOnForLongTellsOfOthers(t *testing.T) {
+func TestALongBurstIsAnEstimateForOthers(t *testing.T) {
 	c := quicktest.New(t)
 	bursts := new(Bursts)
 	now := start
--- a/maintenance/moves_test.go
+++ b/maintenance/moves_test.go
@@ -94,7 +94,7 @@
 	return pools, instances
 }
 
-func TestMovesAreThoseOfThePlainWay(t *testing.T) {
+func TestMovesMatchTheReferenceImplementation(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		pools, instances := drawFleet(r)
 		got, want := Moves(pools, instances), plainMoves(pools, instances)
--- a/org/directory_test.go
+++ b/org/directory_test.go
@@ -91,7 +91,7 @@
 
 // Guards against two mistakes of an entry that can't read the configuration: rejecting a key that may have been
 // added since, and accepting a key without end that may have been revoked since.
-func TestWhatAnEntryThatDoesNotSeeTheConfigurationAnswers(t *testing.T) {
+func TestVerdictsWithAStaleConfiguration(t *testing.T) {
 	c := quicktest.New(t)
 	p := StalenessLimits{Unknown: 3 * time.Second, Known: 9 * time.Second}
 	for _, test := range [...]struct {
--- a/org/ledger_test.go
+++ b/org/ledger_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestWhatIsBeyondTheRate(t *testing.T) {
+func TestJobsOverTheRate(t *testing.T) {
 	c := quicktest.New(t)
 	o := &Organisation{Name: "a", Weight: 3}
 	var r Rate
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -31,8 +31,8 @@
 	return []byte{0, kind, 0, 0, 0, 0, 0, 1, byte(length >> 24), byte(length >> 16), byte(length >> 8), byte(length)}
 }
 
-// TestAFrameLeavesInOneWrite checks that the header and body of a data frame are sent with one write and other frames unchanged.
-func TestAFrameLeavesInOneWrite(t *testing.T) {
+// TestDataFrameIsOneWrite checks that the header and body of a data frame are sent with one write and other frames unchanged.
+func TestDataFrameIsOneWrite(t *testing.T) {
 	c := quicktest.New(t)
 	r := &recorder{}
 	conn := &frameConn{Conn: r}
@@ -46,8 +46,8 @@
 	c.Assert(r.writes[3], quicktest.HasLen, 2*frameHeaderSize)
 }
 
-// TestJoiningChangesNoByte guards against corrupted frames: random frames must produce the same bytes as without frameConn.
-func TestJoiningChangesNoByte(t *testing.T) {
+// TestFrameConnPreservesBytes guards against corrupted frames: random frames must produce the same bytes as without frameConn.
+func TestFrameConnPreservesBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &recorder{}
 		conn := &frameConn{Conn: r}
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestOnlyAPeerWithTheSecretIsLetIn checks that a peer with another secret is rejected with ErrSecretMismatch.
-func TestOnlyAPeerWithTheSecretIsLetIn(t *testing.T) {
+// TestHandshakeRequiresSecret checks that a peer with another secret is rejected with ErrSecretMismatch.
+func TestHandshakeRequiresSecret(t *testing.T) {
 	c := quicktest.New(t)
 	for _, test := range [...]struct {
 		secret string
--- a/place/outlook_test.go
+++ b/place/outlook_test.go
@@ -9,7 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestWhatAJobIsExpectedToEarn(t *testing.T) {
+func TestExpectedValueOfAJob(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(100, 0)
 	// The expected value of a job of two seconds with a target of four seconds; age is the time since it was
--- a/place/shares_test.go
+++ b/place/shares_test.go
@@ -36,7 +36,7 @@
 	return fmt.Sprint(out)
 }
 
-func TestWhatWaitsForItsCapKeepsNoRoom(t *testing.T) {
+func TestATaskThatWaitsForItsCapReservesNoWorker(t *testing.T) {
 	c := quicktest.New(t)
 	a, b := of(groupOf("a", job.Step{Count: 3, Need: cpu(2000)}), "a"), of(groupOf("b", job.Step{Count: 1, Need: cpu(4000)}), "b")
 	got := chosen([]*Group{a, b}, []*Candidate{candidateOf("w1", "r1", 4000, 4000), candidateOf("w2", "r1", 4000, 2000)}, draftOf(c, 2000))
@@ -55,7 +55,7 @@
 
 // A gang fits under the cap but on no worker. What it took from the cap must be returned, so that the next task of
 // its organisation may start.
-func TestAGangThatFindsNoRoomGivesItsCapBack(t *testing.T) {
+func TestAGangThatFitsNowhereReleasesItsCap(t *testing.T) {
 	c := quicktest.New(t)
 	gang := of(groupOf("a", job.Step{Count: 3, Need: cpu(1000), Gang: true}), "a")
 	other := of(groupOf("o", job.Step{Count: 1, Need: cpu(500)}), "a")
@@ -72,7 +72,7 @@
 
 // A job over its organisation's rate has the highest expected value. It must still come after a job of another
 // organisation.
-func TestWhatIsBeyondItsRateTakesRoomThatNobodyElseWants(t *testing.T) {
+func TestJobsOverTheRateTakeOnlyUnwantedCapacity(t *testing.T) {
 	c := quicktest.New(t)
 	beyond, total := of(groupOf("a", job.Step{Count: 4, Need: cpu(1000)}), "a"), of(groupOf("b", job.Step{Count: 3, Need: cpu(1000)}), "b")
 	beyond.OverRate, beyond.Expected, beyond.Priority, total.Priority = true, 100, 0, 1
--- a/place/suspects_test.go
+++ b/place/suspects_test.go
@@ -31,7 +31,7 @@
 	return g
 }
 
-func TestSuspectsStartApartWhereLeastIsLost(t *testing.T) {
+func TestSuspectsStartIsolatedWhereLeastIsLost(t *testing.T) {
 	lasting := candidateWithFree("lasting", 4)
 	lasting.Serving = 1
 	fresh := candidateWithFree("fresh", 4)
--- a/place/tasks_test.go
+++ b/place/tasks_test.go
@@ -110,7 +110,7 @@
 }
 
 // Places random steps on random workers and checks that no worker is charged for more than it has.
-func TestNoRoomIsEverOverfilled(t *testing.T) {
+func TestNoWorkerIsOvercommitted(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var groups []*Group
 		for i := range rapid.IntRange(1, 8).Draw(r, "groups") {
@@ -141,7 +141,7 @@
 
 // Places random steps with the index and by a scan of all candidates for each task. The free capacity in the end
 // must be the same; which of several equal workers is chosen may differ.
-func TestShelvesFindWhatLookingAtAllRoomsFinds(t *testing.T) {
+func TestIndexMatchesAScanOfAllCandidates(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.SampledFrom([]int{4000, 16000}).Draw(r, "size")
 		var free []job.Need
@@ -186,7 +186,7 @@
 }
 
 // Compares the index with a scan of all candidates for one task on workers of several sizes.
-func TestTheFullestRoomWithSpaceIsFound(t *testing.T) {
+func TestIndexFindsTheFullestCandidate(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var candidates []*Candidate
 		for i := range rapid.IntRange(0, 30).Draw(r, "candidates") {
@@ -243,7 +243,7 @@
 
 // Checks that short tasks fill the warm workers first, and that what does not fit there starts on cold workers,
 // which are slow since their start, instead of waiting.
-func TestColdWorkersGetWhatNoOtherHasRoomFor(t *testing.T) {
+func TestColdWorkersGetWhatFitsNowhereElse(t *testing.T) {
 	for _, x := range [...]struct {
 		name       string
 		step       job.Step
--- a/pool/capacity_test.go
+++ b/pool/capacity_test.go
@@ -25,9 +25,9 @@
 	b.updateWorker(w, row)
 }
 
-// TestAStartThatNoLongerFitsDoesNotLeave guards against starts that overload a worker whose capacity shrinks between the
+// TestAStartThatNoLongerFitsIsNotSent guards against starts that overload a worker whose capacity shrinks between the
 // placement and the order.
-func TestAStartThatNoLongerFitsDoesNotLeave(t *testing.T) {
+func TestAStartThatNoLongerFitsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, []*job.Job{jobWithTasks(4)}, "w1")
@@ -66,9 +66,9 @@
 	return out
 }
 
-// TestWhatAWorkerRunsBesidesCounts guards against overloading a worker that reports runs of finished tasks or of unknown
+// TestUnknownRunsOfAWorkerUseCapacity guards against overloading a worker that reports runs of finished tasks or of unknown
 // jobs. These use capacity until they have ended.
-func TestWhatAWorkerRunsBesidesCounts(t *testing.T) {
+func TestUnknownRunsOfAWorkerUseCapacity(t *testing.T) {
 	c := quicktest.New(t)
 	other := job.New(&job.Spec{ID: "00000000000000c3", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Need: job.Need{MilliCPU: 3500}}}}, time.Now())
 	b := newFixture(c, []*job.Job{jobWithTasks(4), other}, "w1", "w2")
@@ -82,9 +82,9 @@
 	c.Check(b.placeAndCount(), quicktest.Equals, 4)
 }
 
-// TestFreeRoomIsWhatAPlainCountGives guards against a worker's free capacity drifting from what its runs leave. It compares
+// TestFreeCapacityMatchesARecount guards against a worker's free capacity drifting from what its runs leave. It compares
 // the two after each step of random histories of one worker.
-func TestFreeRoomIsWhatAPlainCountGives(t *testing.T) {
+func TestFreeCapacityMatchesARecount(t *testing.T) {
 	for seed := range uint64(200) {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestAColdWorkerGrowsWarmAsItSaysWhateverItRepeats guards against a repeated list entry that extends a worker's warm-up. An
+// TestRepeatedListEntriesDoNotExtendWarmUp guards against a repeated list entry that extends a worker's warm-up. An
 // entry with a longer warm-up than the one before does start it anew.
-func TestAColdWorkerGrowsWarmAsItSaysWhateverItRepeats(t *testing.T) {
+func TestRepeatedListEntriesDoNotExtendWarmUp(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Now()
 	w := &worker{}
--- a/pool/connlimit_test.go
+++ b/pool/connlimit_test.go
@@ -109,9 +109,9 @@
 	})
 }
 
-// TestAWalkTakesATenthOfTheProcessor checks that a walk over all instances is put off for nine times as long as the one before
+// TestAScanUsesAtMostATenthOfTheProcessor checks that a walk over all instances is put off for nine times as long as the one before
 // took.
-func TestAWalkTakesATenthOfTheProcessor(t *testing.T) {
+func TestAScanUsesAtMostATenthOfTheProcessor(t *testing.T) {
 	c := quicktest.New(t)
 	var x scanPacer
 	now := time.Now()
--- a/pool/demand_test.go
+++ b/pool/demand_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAnInstanceOnItsWayIsAbleForThePartThatIsLeft(t *testing.T) {
+func TestAMovingInstanceCountsForItsRemainingTime(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(c, nil)
 	b.SetBounds(Bounds{Move: 1500 * time.Millisecond})
@@ -92,9 +92,9 @@
 	c.Assert(b.availableSeconds("moved", now), quicktest.Equals, 1.0)
 }
 
-// TestWhatLastsWaitsForAPlaceBeforeAMaintenance guards against a lasting task being stopped for maintenance while no other worker can take it. The
+// TestLastingTasksWaitForCapacityBeforeMaintenance guards against a lasting task being stopped for maintenance while no other worker can take it. The
 // missing instance is requested, and the task is stopped once another worker fits.
-func TestWhatLastsWaitsForAPlaceBeforeAMaintenance(t *testing.T) {
+func TestLastingTasksWaitForCapacityBeforeMaintenance(t *testing.T) {
 	c := quicktest.New(t)
 	j := jobWithTasks(1)
 	j.Spec.Steps[0] = job.Step{Count: 1, Need: job.Need{MilliCPU: 1000}, Lasting: true, MayMiss: 1, Label: "red"}
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem guards against instances moving back and forth between pools although there are enough for
+// TestPoolsKeepInstancesForBurstsIfThereAreEnough guards against instances moving back and forth between pools although there are enough for
 // the bursts of all pools. With fewer instances the targets must stay as they were.
-func TestPoolsKeepWhatTheirTurnsNeedIfThereIsRoomForAllOfThem(t *testing.T) {
+func TestPoolsKeepInstancesForBurstsIfThereAreEnough(t *testing.T) {
 	const turn = 100.0
 	keep, need := math.Ceil(turn*(1+burstMargin)*(1+spareShare)+spareInstances), math.Ceil(2*turn*(1+spareShare)+spareInstances)
 	for _, test := range [...]struct {
--- a/pool/drain_test.go
+++ b/pool/drain_test.go
@@ -146,8 +146,8 @@
 	})
 }
 
-// TestRoomThatADrainTakesIsBoughtElsewhere checks that a pool whose instances are all drained gets instances in another data centre.
-func TestRoomThatADrainTakesIsBoughtElsewhere(t *testing.T) {
+// TestDrainedInstancesAreReplacedElsewhere checks that a pool whose instances are all drained gets instances in another data centre.
+func TestDrainedInstancesAreReplacedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newDrainBench(c, nil, "a1", "a2")
@@ -170,9 +170,9 @@
 	})
 }
 
-// TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre checks that an instance is requested for a lasting task in a drained data centre whose
+// TestAnInstanceIsRequestedForATaskThatCantLeaveADrain checks that an instance is requested for a lasting task in a drained data centre whose
 // pool has no other instance.
-func TestAPlaceIsBoughtForWhatCantLeaveADrainedDataCentre(t *testing.T) {
+func TestAnInstanceIsRequestedForATaskThatCantLeaveADrain(t *testing.T) {
 	c := quicktest.New(t)
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Lasting: true, MayMiss: 1, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
 	b := newDrainBench(c, []*job.Job{j}, "a1")
--- a/pool/incarnations_test.go
+++ b/pool/incarnations_test.go
@@ -251,7 +251,7 @@
 }
 
 // TestALeaseThatIsOverDoesNotSettleAnOrderWithoutAnAnswer lets the lease of a silent worker expire. The run that it
-// confirmed is over then, but the start that it never answered may still be carried out until lateMost has passed.
+// confirmed is over then, but the start that it never answered may still be carried out until lateMax has passed.
 func TestALeaseThatIsOverDoesNotSettleAnOrderWithoutAnAnswer(t *testing.T) {
 	for _, listed := range [...]bool{true, false} {
 		c := quicktest.New(t)
--- a/pool/machinecalls_test.go
+++ b/pool/machinecalls_test.go
@@ -141,7 +141,7 @@
 	})
 }
 
-func TestAMachineInterfaceThatRefusesOrIsSlowOrDeadIsNotPressed(t *testing.T) {
+func TestAMachineInterfaceThatRejectsOrIsSlowOrDownIsNotOverloaded(t *testing.T) {
 	for _, test := range [...]struct {
 		name  string
 		x     *fakeMachines
--- a/pool/modes.go
+++ b/pool/modes.go
@@ -14,7 +14,7 @@
 
 // Degraded modes.
 const (
-	// modeStoreSlow: a batch has been in flight for slowAfter, and the next leader is told that orders may be sent
+	// modeStoreSlow: a batch has been in flight for storeSlowAfter, and the next leader is told that orders may be sent
 	// before they are stored. The mode ends when a batch is answered in less time and every run that was ordered is
 	// stored.
 	modeStoreSlow mode = iota
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -118,7 +118,7 @@
 	// PutWave writes a wave's state for the operator.
 	PutWave func(ctx context.Context, wave int64, done bool) error
 	Events  *event.Ring
-	// MaxBatchBytes limits the size of a batch appended to State. The default is batchMost.
+	// MaxBatchBytes limits the size of a batch appended to State. The default is batchMax.
 	MaxBatchBytes int
 	// MaxRecordBytes limits the size of a record of State, including its key. Longer records are set aside. 0 means
 	// no limit.
--- a/pool/session.go
+++ b/pool/session.go
@@ -89,7 +89,7 @@
 	// inheritedJobs holds the jobs that an earlier leader may have started.
 	inheritedJobs map[string]bool
 	// uncertainIncarnations holds the incarnations that may still run what an earlier leader started. It is relevant until
-	// doubtOver.
+	// earlierLeasesOver.
 	uncertainIncarnations map[string]*worker
 	// takeoverSteps holds the steps of the takeover that have been reached.
 	takeoverSteps map[string]bool
@@ -138,7 +138,7 @@
 	machinesAsking     bool
 	machinesListTime   time.Duration // how long the last list took
 	firstHoldSemaphore callSemaphore // limits first holds, to workers that have not answered yet
-	idleRest           atomic.Int64  // pause between holds to a worker without work, see watchIdle
+	idleRest           atomic.Int64  // pause between holds to a worker without work, see updateIdlePolling
 	alarm              latch         // ends those pauses
 	machines           map[string]Machine
 	machineNames       []string // names of the machines, see instanceNames
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -152,9 +152,9 @@
 	})
 }
 
-// TestAnIncarnationOutOfTheListCountsAsLargeAsAny guards against ignoring a stored incarnation that is no longer listed, so that its capacity is unknown. A
+// TestAnUnlistedIncarnationCountsAsTheLargestWorker guards against ignoring a stored incarnation that is no longer listed, so that its capacity is unknown. A
 // previous leader that was partitioned continued to start runs there. Found by random histories (seed 2929).
-func TestAnIncarnationOutOfTheListCountsAsLargeAsAny(t *testing.T) {
+func TestAnUnlistedIncarnationCountsAsTheLargestWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w2")
@@ -275,9 +275,9 @@
 	c.Assert(b.ledger.Directory(), quicktest.Equals, d)
 }
 
-// TestWhatNobodyOwesAndWhatACapHoldsAskForNoInstance checks that jobs over their rate limit and tasks held back by a cap do not increase the need of
+// TestWorkOverItsRateLimitOrCapRequestsNoInstances checks that jobs over their rate limit and tasks held back by a cap do not increase the need of
 // a pool.
-func TestWhatNobodyOwesAndWhatACapHoldsAskForNoInstance(t *testing.T) {
+func TestWorkOverItsRateLimitOrCapRequestsNoInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newFixture(c, nil, "w1")
--- a/pool/slowlink_test.go
+++ b/pool/slowlink_test.go
@@ -36,11 +36,11 @@
 	time.Sleep(time.Until(until))
 }
 
-// TestALeaderOnAThinLinkReadsItsTablesAndKeepsTheLead guards against a leader on a slow link that loses the lead while it
+// TestALeaderOnASlowLinkLoadsItsTablesAndKeepsTheLead guards against a leader on a slow link that loses the lead while it
 // loads its tables. On links of 2 Mbit/s, after all entries were killed, the lead changed ten times in 15 s and no leader got
 // further: reading 28 topics (700 KB) at once took 2.8 s of the link (tables-read after 3.06 to 3.67 s) and the answers to
 // renewals queued behind that. The next renewal waits for the answer to the last, and candidates take the lead after 1.1 s.
-func TestALeaderOnAThinLinkReadsItsTablesAndKeepsTheLead(t *testing.T) {
+func TestALeaderOnASlowLinkLoadsItsTablesAndKeepsTheLead(t *testing.T) {
 	const topics, topicBytes = 28, 25000.0
 	for _, x := range [...]struct {
 		name string
--- a/pool/suspend_test.go
+++ b/pool/suspend_test.go
@@ -63,11 +63,11 @@
 	n.until = until
 }
 
-// TestWhoWakesFromASuspensionKnowsNothing guards against tasks that run twice after a suspension, as they did when proofs
+// TestASuspendedEntryDoesNotTrustStaleProof guards against tasks that run twice after a suspension, as they did when proofs
 // of the lead were timed by the steady clock. That clock does not count a suspension: a leader that wakes extends leases and
 // starts tasks under a lead that has passed on, and a successor suspended during its takeover believes that the leader before
 // stopped only just now.
-func TestWhoWakesFromASuspensionKnowsNothing(t *testing.T) {
+func TestASuspendedEntryDoesNotTrustStaleProof(t *testing.T) {
 	for _, span := range [...]time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 7 * time.Second, 12 * time.Second, 30 * time.Second} {
 		for _, x := range [...]struct {
 			name string
--- a/pool/suspendedleader_test.go
+++ b/pool/suspendedleader_test.go
@@ -46,11 +46,11 @@
 	return a
 }
 
-// TestALeaderThatWakesProvesNothingByWhatItKnew guards against a leader that acts under a lead which passed to another entry
+// TestAResumedLeaderDoesNotTrustStaleProof guards against a leader that acts under a lead which passed to another entry
 // while its machine was suspended. By the steady clock, which stands still meanwhile, its proof of the lead is still fresh: until
 // its next renewal is refused, up to 0.35 s later, it would order, move and maintain, and deny jobs that it has never read.
 // Each of these happened after a suspension of ten seconds.
-func TestALeaderThatWakesProvesNothingByWhatItKnew(t *testing.T) {
+func TestAResumedLeaderDoesNotTrustStaleProof(t *testing.T) {
 	for _, span := range [...]time.Duration{3 * time.Second, 10 * time.Second} {
 		for name, check := range map[string]func(c *quicktest.C, a *suspendableLeader, before bool){
 			"it may order": func(c *quicktest.C, a *suspendableLeader, before bool) {
--- a/pool/takeover_test.go
+++ b/pool/takeover_test.go
@@ -444,9 +444,9 @@
 	quicktest.Assert(t, late > 20, quicktest.IsTrue, quicktest.Commentf("%d runs started after their job was cancelled", late))
 }
 
-// TestALeaderCutOffForLongerThanALeaseDoublesNothing guards against tasks that run twice when the leader's data centre is
+// TestAPartitionedLeaderRunsNoTaskTwice guards against tasks that run twice when the leader's data centre is
 // cut off for about a lease's length, with workers whose clocks are as slow as allowed and whose leases so end last.
-func TestALeaderCutOffForLongerThanALeaseDoublesNothing(t *testing.T) {
+func TestAPartitionedLeaderRunsNoTaskTwice(t *testing.T) {
 	for _, span := range [...]time.Duration{3, 6, 9, 10, 11, 13, 20} {
 		for _, resets := range [...]bool{false, true} {
 			for seed := range uint64(8) {
@@ -474,9 +474,9 @@
 	}
 }
 
-// TestWhatTheStoreAnswersAfterACutStartsNothing guards against a former leader that starts tasks on a late answer of the
+// TestRepeatedStoreAnswersAfterAPartitionStartNothing guards against a former leader that starts tasks on a late answer of the
 // store. It is cut off while its batches are in flight, and the store repeats its first answer to a batch that it has appended.
-func TestWhatTheStoreAnswersAfterACutStartsNothing(t *testing.T) {
+func TestRepeatedStoreAnswersAfterAPartitionStartNothing(t *testing.T) {
 	for seed := range uint64(12) {
 		_, violations := runHistory(t, seed, func(h *history) {
 			h.repeatsBeforeFencing = true
@@ -491,9 +491,9 @@
 	}
 }
 
-// TestLeadersThatStopInAWaveSpareWhatLasts guards against a new leader that stops too many lasting tasks of a step in an
+// TestLeadersThatStopInAWaveKeepLastingTasksAvailable guards against a new leader that stops too many lasting tasks of a step in an
 // maintenance wave. After a planned handover, tasks that the earlier leader has told to stop are still reported as running for a while.
-func TestLeadersThatStopInAWaveSpareWhatLasts(t *testing.T) {
+func TestLeadersThatStopInAWaveKeepLastingTasksAvailable(t *testing.T) {
 	for seed := range uint64(12) {
 		_, violations := runHistory(t, seed, func(h *history) {
 			for range 4 {
--- a/provider/client_test.go
+++ b/provider/client_test.go
@@ -26,16 +26,16 @@
 	return &Client{URL: "http://127.0.0.1:1", HTTP: &http.Client{Transport: fixedResponse{status, body}}}
 }
 
-// TestATaskOfAnInstanceThatHasGoneIsStopped checks that 404 for the instance counts as a stopped task and not as an error.
-func TestATaskOfAnInstanceThatHasGoneIsStopped(t *testing.T) {
+// TestTaskOfRemovedInstanceIsStopped checks that 404 for the instance counts as a stopped task and not as an error.
+func TestTaskOfRemovedInstanceIsStopped(t *testing.T) {
 	c := quicktest.New(t)
 	r, err := newFixedClient(404, nil).Task(context.Background(), "i", "j.1")
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(r, quicktest.DeepEquals, TaskReport{State: TaskStopped})
 }
 
-// TestUsageIsUnknownWhenThePlatformLeavesItOut checks that missing usage is nil and not zero usage.
-func TestUsageIsUnknownWhenThePlatformLeavesItOut(t *testing.T) {
+// TestMissingUsageIsNil checks that missing usage is nil and not zero usage.
+func TestMissingUsageIsNil(t *testing.T) {
 	c := quicktest.New(t)
 	r, err := newFixedClient(200, []byte(`{"state":"running"}`)).StartTask(context.Background(), "i", "j.1", Task{})
 	c.Assert(err, quicktest.IsNil)
