--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// boot reads CLOCK_BOOTTIME. A system without it, or that refuses the call, gives zero for ever: then no suspension is noticed.
-func boot() time.Duration {
+// bootTime reads CLOCK_BOOTTIME. It returns zero where the system lacks that clock or refuses the call, and suspensions then go unnoticed.
+func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0
--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -6,5 +6,5 @@
 
 import "time"
 
-// boot stands still: there is no clock here that goes on while the machine is suspended.
-func boot() time.Duration { return 0 }
+// bootTime is constant: this package has no clock on this system that advances during a suspension, so suspensions go unnoticed.
+func bootTime() time.Duration { return 0 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,84 +7,85 @@
 	"time"
 )
 
-// noise is by how much the two clocks may differ from reading to reading without a suspension: what can pass between the two readings
-// is excluded, so that rates that differ are left. Every bound that a proof rests on has a margin beyond it.
-const noise = 5 * time.Millisecond
+// maxDrift is the difference between the two clocks that is put down to their rates instead of to a suspension. The order in which ExactNow
+// reads them keeps the time between the two readings out of the difference. Every bound that a proof relies on has a margin larger than
+// maxDrift.
+const maxDrift = 5 * time.Millisecond
 
-// Clock is the steady clock with the time that the machine was suspended. A nil Clock, and the zero value, know of no suspension.
+// Clock is the monotonic clock plus the time for which the machine was suspended. A nil Clock and the zero value detect no suspension.
 //
-// The fields are set before its first use.
+// The fields must be set before the first use.
 type Clock struct {
-	// Steady returns the time by the steady clock; time.Now when nil.
+	// Monotonic returns the monotonic time; time.Now when nil.
 	Steady func() time.Time
-	// Boot returns what has passed on the clock that goes on while the machine is suspended, since a moment that stays the same; without
-	// it no suspension is noticed.
+	// BootTime returns the time since a fixed moment on a clock that also advances while the machine is suspended; no suspension is
+	// detected when nil.
 	Boot func() time.Duration
-	// Woke is called with how long the machine was suspended, from whoever notices it; nobody is told when nil.
-	Woke func(slept time.Duration)
+	// OnResume is called with the length of a suspension, on the goroutine that detects it; may be nil.
+	Woke func(suspended time.Duration)
 
-	began atomic.Pointer[start]
-	slept atomic.Int64
+	baseline  atomic.Pointer[baseline]
+	suspended atomic.Int64
 }
 
-// start is the two clocks' first reading.
-type start struct {
-	steady time.Time
-	boot   time.Duration
+// baseline is the first reading of both clocks.
+type baseline struct {
+	monotonic time.Time
+	bootTime  time.Duration
 }
 
-// New returns the clock of this machine.
+// New returns the clock of this machine. It counts suspensions from the call on.
 func New() *Clock {
-	c := &Clock{Boot: boot}
-	c.Sure() // suspensions count from here
+	c := &Clock{Boot: bootTime}
+	c.Sure() // takes the baseline
 	return c
 }
 
-// Now returns the time, by the suspensions that were noticed.
+// Now returns the time including the suspensions that were detected so far.
 func (c *Clock) Now() time.Time {
 	if c == nil {
 		return time.Now()
 	}
-	return c.steady().Add(time.Duration(c.slept.Load()))
+	return c.monotonicNow().Add(time.Duration(c.suspended.Load()))
 }
 
-// Since returns what has passed since a time of this clock.
+// Since returns the time elapsed since t, which must be a time of this clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Sure returns the time, with all suspensions that ended before the call.
+// ExactNow returns the time including all suspensions that ended before the call.
 func (c *Clock) Sure() time.Time {
 	if c == nil || c.Boot == nil {
 		return c.Now()
 	}
 	b := c.Boot()
-	now := c.steady() // read later, so that a pause between the two is taken for no suspension
-	first := c.began.Load()
+	now := c.monotonicNow() // read second, so that a pause between the two readings doesn't count as a suspension (one within the baseline does)
+	first := c.baseline.Load()
 	if first == nil {
-		c.began.CompareAndSwap(nil, &start{steady: now, boot: b})
+		c.baseline.CompareAndSwap(nil, &baseline{monotonic: now, bootTime: b})
 		return c.Now()
 	}
-	c.notice((b - first.boot) - now.Sub(first.steady))
-	return now.Add(time.Duration(c.slept.Load()))
+	c.addSuspension((b - first.bootTime) - now.Sub(first.monotonic))
+	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// notice takes in by how much the clock that goes on is ahead of the steady one.
-func (c *Clock) notice(ahead time.Duration) {
+// addSuspension counts a suspension if the boot clock has moved ahead of the monotonic one by more than maxDrift beyond what was counted before.
+func (c *Clock) addSuspension(ahead time.Duration) {
 	for {
-		known := c.slept.Load()
-		slept := ahead - time.Duration(known)
-		if slept <= noise {
+		counted := c.suspended.Load()
+		added := ahead - time.Duration(counted)
+		if added <= maxDrift {
 			return
 		}
-		if c.slept.CompareAndSwap(known, int64(ahead)) {
+		if c.suspended.CompareAndSwap(counted, int64(ahead)) {
 			if c.Woke != nil {
-				c.Woke(slept)
+				c.Woke(added)
 			}
 			return
 		}
 	}
 }
 
-func (c *Clock) steady() time.Time {
+func (c *Clock) monotonicNow() time.Time {
 	if c.Steady == nil {
 		return time.Now()
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,68 +9,74 @@
 	"github.com/frankban/quicktest"
 )
 
-// machine is a machine that can be suspended: its steady clock stands still meanwhile.
+// machine simulates a machine that can be suspended, during which its monotonic clock stops.
 type machine struct {
-	steady time.Time
-	boot   time.Duration
-	woke   []time.Duration
+	monotonic time.Time
+	bootTime  time.Duration
+	resumed   []time.Duration
 }
 
 func (m *machine) clock() *Clock {
-	c := &Clock{Steady: func() time.Time { return m.steady }, Boot: func() time.Duration { return m.boot }, Woke: func(d time.Duration) { m.woke = append(m.woke, d) }}
+	c := &Clock{Steady: func() time.Time { return m.monotonic }, Boot: func() time.Duration { return m.bootTime }, Woke: func(d time.Duration) { m.resumed = append(m.resumed, d) }}
 	c.Sure()
 	return c
 }
 
-func (m *machine) run(d time.Duration) { m.steady, m.boot = m.steady.Add(d), m.boot+d }
+func (m *machine) advance(d time.Duration) {
+	m.monotonic, m.bootTime = m.monotonic.Add(d), m.bootTime+d
+}
 
-func (m *machine) suspend(d time.Duration) { m.boot += d }
+func (m *machine) suspend(d time.Duration) { m.bootTime += d }
 
+// A suspension must enter Now after ExactNow has detected it, exactly once, and OnResume must report it once: a suspension that is missed lets an
+// expired proof pass for valid, and one that is counted twice expires valid ones.
 func TestASuspensionCountsOnceItIsNoticed(t *testing.T) {
 	c := quicktest.New(t)
-	m := &machine{steady: time.Unix(1000, 0), boot: time.Hour}
+	m := &machine{monotonic: time.Unix(1000, 0), bootTime: time.Hour}
 	x := m.clock()
-	began := x.Now()
-	m.run(time.Second)
-	c.Assert(x.Since(began), quicktest.Equals, time.Second)
+	start := x.Now()
+	m.advance(time.Second)
+	c.Assert(x.Since(start), quicktest.Equals, time.Second)
 	m.suspend(10 * time.Second)
-	c.Assert(x.Since(began), quicktest.Equals, time.Second) // nobody has asked
-	c.Assert(x.Sure().Sub(began), quicktest.Equals, 11*time.Second)
-	c.Assert(x.Since(began), quicktest.Equals, 11*time.Second)
-	m.run(time.Second)
+	c.Assert(x.Since(start), quicktest.Equals, time.Second) // not detected before ExactNow
+	c.Assert(x.Sure().Sub(start), quicktest.Equals, 11*time.Second)
+	c.Assert(x.Since(start), quicktest.Equals, 11*time.Second)
+	m.advance(time.Second)
 	m.suspend(300 * time.Millisecond)
-	c.Assert(x.Sure().Sub(began), quicktest.Equals, 12300*time.Millisecond)
-	c.Assert(x.Sure().Sub(began), quicktest.Equals, 12300*time.Millisecond)
-	c.Assert(m.woke, quicktest.DeepEquals, []time.Duration{10 * time.Second, 300 * time.Millisecond})
+	c.Assert(x.Sure().Sub(start), quicktest.Equals, 12300*time.Millisecond)
+	c.Assert(x.Sure().Sub(start), quicktest.Equals, 12300*time.Millisecond)
+	c.Assert(m.resumed, quicktest.DeepEquals, []time.Duration{10 * time.Second, 300 * time.Millisecond})
 }
 
+// Clocks whose rates differ slightly, or a boot clock that goes back, must not be taken for a suspension.
 func TestClocksThatDifferALittleAreNoSuspension(t *testing.T) {
 	c := quicktest.New(t)
-	m := &machine{steady: time.Unix(1000, 0)}
+	m := &machine{monotonic: time.Unix(1000, 0)}
 	x := m.clock()
 	for range 100 {
-		m.run(time.Second)
-		m.boot += 10 * time.Microsecond // a rate that differs
+		m.advance(time.Second)
+		m.bootTime += 10 * time.Microsecond // the clocks' rates differ
 		x.Sure()
 	}
-	c.Assert(m.woke, quicktest.HasLen, 0)
-	m.boot -= time.Second // a clock that goes back is no suspension either
+	c.Assert(m.resumed, quicktest.HasLen, 0)
+	m.bootTime -= time.Second // a boot clock that goes back is no suspension either
 	before := x.Now()
 	c.Assert(x.Sure(), quicktest.Equals, before)
 }
 
+// A nil Clock, the zero value, and the real clock without a suspension must follow time.Now, so that callers need no special case.
 func TestAClockWithoutASystemBehindItIsTheSteadyOne(t *testing.T) {
 	c := quicktest.New(t)
 	var none *Clock
-	at := none.Now()
-	c.Assert(none.Sure().Before(at), quicktest.IsFalse)
+	before := none.Now()
+	c.Assert(none.Sure().Before(before), quicktest.IsFalse)
 	var zero Clock
-	c.Assert(zero.Sure().Before(at), quicktest.IsFalse)
-	real := New()
-	c.Assert(real.Sure().Sub(at) < time.Minute, quicktest.IsTrue)
+	c.Assert(zero.Sure().Before(before), quicktest.IsFalse)
+	system := New()
+	c.Assert(system.Sure().Sub(before) < time.Minute, quicktest.IsTrue)
 }
 
-// BenchmarkSure gives the cost of asking the system; Now costs what time.Now does.
+// BenchmarkSure measures ExactNow, which makes a system call; Now costs as much as time.Now.
 func BenchmarkSure(b *testing.B) {
 	c := New()
 	for b.Loop() {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -13,33 +13,34 @@
 	"github.com/frankban/quicktest"
 )
 
-// Check compares the encoded form of value with testdata/NAME.hex, then decodes the file's bytes into a new value of the type and compares what that
-// encodes to.
+// Check encodes value and compares the result with testdata/NAME.hex. It then decodes the file's bytes into a new value of the same type,
+// encodes that, and compares again.
 func Check(c *quicktest.C, name string, value any, encode func(any) ([]byte, error), decode func([]byte, any) error) {
 	c.Helper()
 	file, err := os.ReadFile(filepath.Join("testdata", name+".hex"))
 	c.Assert(err, quicktest.IsNil)
 	stored := strings.TrimSpace(string(file))
-	now, err := encode(value)
+	encoded, err := encode(value)
 	c.Assert(err, quicktest.IsNil)
-	c.Check(hex.EncodeToString(now), quicktest.Equals, stored, quicktest.Commentf("the encoded form has changed"))
+	c.Check(hex.EncodeToString(encoded), quicktest.Equals, stored, quicktest.Commentf("the encoding of %T has changed", value))
 	b, err := hex.DecodeString(stored)
 	c.Assert(err, quicktest.IsNil)
-	read := reflect.New(reflect.TypeOf(value))
-	c.Assert(decode(b, read.Interface()), quicktest.IsNil)
-	again, err := encode(read.Elem().Interface())
+	decoded := reflect.New(reflect.TypeOf(value))
+	c.Assert(decode(b, decoded.Interface()), quicktest.IsNil)
+	reencoded, err := encode(decoded.Elem().Interface())
 	c.Assert(err, quicktest.IsNil)
-	c.Check(hex.EncodeToString(again), quicktest.Equals, stored, quicktest.Commentf("a stored value is read differently"))
+	c.Check(hex.EncodeToString(reencoded), quicktest.Equals, stored, quicktest.Commentf("a stored %T does not encode to the same bytes after decoding", value))
 }
 
-// Fill sets each exported field that value points to, and those of the types that it contains, to distinct values other than zero, in the order of
-// declaration. Fields that are left out by a tag, and interfaces, stay zero.
+// Fill sets every exported field of the struct that value points to, and recursively of the types that it contains, in the order of declaration,
+// to values that are distinct and not zero. Integers are taken modulo 128, so that they fit an int8: beyond 127 values they repeat, and every
+// 128th value is zero if it falls on an integer. Fields whose cbor or json tag is "-", and interfaces, stay zero.
 func Fill(value any) {
 	var f filler
 	f.fill(reflect.ValueOf(value).Elem())
 }
 
-// filler gives out distinct values.
+// filler generates the values for Fill.
 type filler struct{ last int64 }
 
 func (f *filler) next() int64 {
@@ -68,23 +69,23 @@
 		f.fill(v.Elem())
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		f.elements(v)
+		f.fillElements(v)
 	case reflect.Array:
-		f.elements(v)
+		f.fillElements(v)
 	case reflect.Map:
-		f.entry(v)
+		f.fillMap(v)
 	case reflect.Struct:
-		f.fields(v)
+		f.fillFields(v)
 	}
 }
 
-func (f *filler) elements(v reflect.Value) {
+func (f *filler) fillElements(v reflect.Value) {
 	for i := range v.Len() {
 		f.fill(v.Index(i))
 	}
 }
 
-func (f *filler) entry(v reflect.Value) {
+func (f *filler) fillMap(v reflect.Value) {
 	key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 	f.fill(key)
 	f.fill(value)
@@ -92,7 +93,7 @@
 	v.SetMapIndex(key, value)
 }
 
-func (f *filler) fields(v reflect.Value) {
+func (f *filler) fillFields(v reflect.Value) {
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		if field.IsExported() && field.Tag.Get("cbor") != "-" && field.Tag.Get("json") != "-" {
@@ -101,5 +102,5 @@
 	}
 }
 
-// text returns a short string that no other number has.
+// text returns a short string that is unique among numbers below 65536.
 func text(n int64) string { return "text-" + hex.EncodeToString([]byte{byte(n >> 8), byte(n)}) }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package meter counts the bytes of connections.
+// Package meter counts the bytes that connections transfer.
 package meter
 
 import (
@@ -9,15 +9,15 @@
 	"sync/atomic"
 )
 
-// Meter counts bytes in both directions; the zero value is ready and may be shared by many connections.
+// Meter counts bytes in both directions. The zero value is ready to use; a Meter may be shared by several connections.
 type Meter struct {
 	in, out atomic.Int64
 }
 
-// Bytes returns what was read and written so far.
+// Bytes returns the number of bytes read and written so far.
 func (m *Meter) Bytes() (in, out int64) { return m.in.Load(), m.out.Load() }
 
-// Conn returns the connection with its bytes counted; a nil Meter counts nothing.
+// Conn wraps the connection to count its bytes. A nil Meter returns it as it is.
 func (m *Meter) Conn(c net.Conn) net.Conn {
 	if m == nil {
 		return c
@@ -25,10 +25,10 @@
 	return &conn{Conn: c, meter: m}
 }
 
-// Dialer is the type of a function that opens a connection.
+// Dialer opens a connection, as net.Dialer.DialContext does.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a dialler whose connections are counted; a nil dial is a net.Dialer's.
+// Dial returns a Dialer that counts the bytes of its connections. A nil dial stands for that of the zero net.Dialer.
 func (m *Meter) Dial(dial Dialer) Dialer {
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
@@ -42,19 +42,20 @@
 	}
 }
 
+// conn is a connection whose bytes are counted.
 type conn struct {
 	net.Conn
 	meter *Meter
 }
 
-// Read reads and counts.
+// Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.meter.in.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.meter.out.Add(int64(n))
--- a/internal/seed/doc.go
+++ b/internal/seed/doc.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 
-// Package seed gives the state machines of the tests a fixed seed, so that each run of the tests gives the same verdict.
+// Package seed gives rapid's property tests a fixed seed, so that every run of the tests has the same result.
 //
 // A package whose tests use rapid calls it from TestMain:
 //
@@ -9,7 +9,7 @@
 //		os.Exit(m.Run())
 //	}
 //
-// The flags -rapid.seed and -rapid.checks go before it, so that a person can look for failures with other seeds:
+// The flags -rapid.seed and -rapid.checks take precedence, to look for failures with other seeds:
 //
 //	go test ./fleet -rapid.seed=7 -rapid.checks=100000
 package seed
--- a/internal/seed/fix.go
+++ b/internal/seed/fix.go
@@ -7,21 +7,21 @@
 	"strconv"
 )
 
-// fixed is the seed of every run that does not name one.
-const fixed = "1"
+// defaultSeed is the seed of runs without -rapid.seed.
+const defaultSeed = "1"
 
-// Fix sets rapid's seed and its number of checks where the command line left them alone; it parses the flags.
+// Fix parses the flags, then sets rapid's seed and number of checks unless the command line has set them.
 func Fix(checks int) {
 	flag.Parse()
-	setDefault("rapid.seed", fixed)
+	setDefault("rapid.seed", defaultSeed)
 	setDefault("rapid.checks", strconv.Itoa(checks))
 }
 
-// setDefault sets the flag unless the command line did; a flag that nobody defined is left alone.
+// setDefault sets the flag unless the command line has set it. It ignores a flag that isn't defined.
 func setDefault(name, value string) {
 	f := flag.Lookup(name)
 	if f == nil || f.Value.String() != f.DefValue {
 		return
 	}
-	_ = flag.Set(name, value) // the flag is there, and the value has its type
+	_ = flag.Set(name, value) // can't fail: the flag is defined and the value has its type
 }
