--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -4,31 +4,31 @@
 
 import "time"
 
-// Faults are the platform's switches; the zero value is a sound platform.
+// Faults selects the platform's faults; the zero value is a platform without faults. PUT /v1/faults takes it as JSON.
 type Faults struct {
 	// LogDown refuses every append and read.
 	LogDown bool
-	// AppendsPerSecond is the number of appends that all logs take in a second; those beyond are refused. Any when 0.
+	// AppendsPerSecond limits the appends that all logs together accept in a second; further ones are refused. Unlimited when 0.
 	AppendsPerSecond int
 	// LogDelay delays every append.
 	LogDelay time.Duration
-	// LoseEvery breaks the connection after every n-th append took effect; never when 0.
-	LoseEvery int
-	// TwiceEvery adds every n-th append's records two times; never when 0.
-	TwiceEvery int
-	// Keep is the number of records that a log keeps; all when 0.
-	Keep int
-	// ListLag is how old the instance list is.
+	// DropAppendReplyEvery closes the connection without a reply after every n-th append took effect; never when 0.
+	LoseEvery int `json:"LoseEvery"`
+	// DuplicateEvery adds the records of every n-th append twice; never when 0.
+	TwiceEvery int `json:"TwiceEvery"`
+	// RetainedRecords is the number of records that a log retains; all when 0.
+	Keep int `json:"Keep"`
+	// ListLag is the age of the instance list that is served.
 	ListLag time.Duration
-	// ListDown refuses reads of the list.
+	// ListDown refuses reads of the instance list.
 	ListDown bool
 	// CommandsDown refuses commands and tasks.
 	CommandsDown bool
-	// LoseCommands breaks the connection after every n-th command or task call took effect; never when 0.
-	LoseCommands int
+	// DropCommandReplyEvery closes the connection without a reply after every n-th command or task call took effect; never when 0.
+	LoseCommands int `json:"LoseCommands"`
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -36,10 +36,10 @@
 	for _, l := range p.logs {
 		l.trim(f.Keep)
 	}
-	p.wake()
+	p.notifyReaders()
 }
 
-// Faults returns the switches.
+// Faults returns the faults in force.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/hold.go
+++ b/internal/standin/hold.go
@@ -10,66 +10,66 @@
 	"rackstep.dev/provider"
 )
 
-// wakeHolds lets every hold look again; the caller holds mu.
-func (p *Platform) wakeHolds() {
-	close(p.tasked)
-	p.tasked = make(chan struct{})
+// notifyHolds makes every waiting hold call check its tasks again; the caller holds mu.
+func (p *Platform) notifyHolds() {
+	close(p.tasksChanged)
+	p.tasksChanged = make(chan struct{})
 }
 
-// holdTasks renews leases and answers when one of the named tasks does not run, or after the wait.
+// holdTasks renews the leases of the named tasks and replies when one of them is not running, or after the wait.
 func (p *Platform) holdTasks(w http.ResponseWriter, r *http.Request) {
-	var order provider.Hold
-	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+	var req provider.Hold
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	until := time.Now().Add(order.Wait)
+	deadline := time.Now().Add(req.Wait)
 	for first := true; ; first = false {
-		reports, wake, next := p.lookAt(w, r, order, first)
+		reports, changed, next := p.checkTasks(w, r, req, first)
 		now := time.Now()
 		if reports == nil {
 			return
 		}
-		if next.IsZero() || !now.Before(until) {
+		if next.IsZero() || !now.Before(deadline) {
 			reply(w, struct {
 				Tasks map[string]provider.TaskReport `json:"tasks"`
 			}{reports})
 			return
 		}
-		if until.Before(next) {
-			next = until
+		if deadline.Before(next) {
+			next = deadline
 		}
 		timer := time.NewTimer(next.Sub(now))
 		select {
 		case <-r.Context().Done():
 			timer.Stop()
 			return
-		case <-wake:
+		case <-changed:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// lookAt returns the tasks' reports, a channel that closes when one may have ended, and when the next one ends by itself;
-// that is zero when one does not run. It returns no reports when it has answered.
-func (p *Platform) lookAt(w http.ResponseWriter, r *http.Request, order provider.Hold, renew bool) (reports map[string]provider.TaskReport, wake chan struct{}, next time.Time) {
+// checkTasks returns the tasks' reports, a channel that is closed when a task may have ended, and the time at which the next task
+// ends by itself, which is zero when a task is not running. It returns nil reports when it has sent an error reply.
+func (p *Platform) checkTasks(w http.ResponseWriter, r *http.Request, req provider.Hold, renew bool) (reports map[string]provider.TaskReport, changed chan struct{}, next time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.machineOf(w, r)
+	m := p.machineOrReply(w, r)
 	if m == nil {
 		return nil, nil, time.Time{}
 	}
 	if renew {
-		p.lose()
+		p.maybeDropReply()
 	}
 	now := time.Now()
-	reports = make(map[string]provider.TaskReport, len(order.Tasks))
+	reports = make(map[string]provider.TaskReport, len(req.Tasks))
 	ended := false
-	for id, h := range order.Tasks {
+	for id, h := range req.Tasks {
 		t := m.tasks[id]
 		if renew && t.stateAt(now) == provider.TaskRunning {
-			t.lease, t.limit = now.Add(order.Lease), h.Limit
+			t.leaseEnds, t.coreLimit = now.Add(req.Lease), h.Limit
 		}
 		reports[id] = p.reportOf(t, now)
 		if reports[id].State != provider.TaskRunning {
@@ -83,13 +83,13 @@
 	if ended {
 		next = time.Time{}
 	}
-	return reports, p.tasked, next
+	return reports, p.tasksChanged, next
 }
 
-// endsAt returns when the running task ends by itself or its lease lapses.
+// endsAt returns when the running task ends by itself or its lease expires, whichever is first.
 func (t *task) endsAt() time.Time {
-	if lapse := t.lease.Add(time.Nanosecond); lapse.Before(t.ends) {
-		return lapse
+	if expiry := t.leaseEnds.Add(time.Nanosecond); expiry.Before(t.finishesAt) {
+		return expiry
 	}
-	return t.ends
+	return t.finishesAt
 }
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -13,7 +13,7 @@
 type logStore struct {
 	first   int64
 	records [][]byte
-	// all is every record ever appended, for those who judge a trial.
+	// all is every record ever appended, including trimmed ones, for checks after a run.
 	all [][]byte
 }
 
@@ -24,16 +24,16 @@
 
 func (l *logStore) next() int64 { return l.first + int64(len(l.records)) }
 
-// trim drops the oldest records beyond keep.
-func (l *logStore) trim(keep int) {
-	if n := len(l.records) - keep; keep > 0 && n > 0 {
+// trim drops the oldest records so that at most limit remain; 0 retains all.
+func (l *logStore) trim(limit int) {
+	if n := len(l.records) - limit; limit > 0 && n > 0 {
 		l.records = append([][]byte(nil), l.records[n:]...)
 		l.first += int64(n)
 	}
 }
 
-// store returns the log with the name; the caller holds mu.
-func (p *Platform) store(name string) *logStore {
+// logNamed returns the log with the name and creates it if needed; the caller holds mu.
+func (p *Platform) logNamed(name string) *logStore {
 	l := p.logs[name]
 	if l == nil {
 		l = &logStore{}
@@ -42,9 +42,10 @@
 	return l
 }
 
-func (p *Platform) wake() {
-	close(p.changed)
-	p.changed = make(chan struct{})
+// notifyReaders wakes the reads that wait for new records; the caller holds mu.
+func (p *Platform) notifyReaders() {
+	close(p.logsChanged)
+	p.logsChanged = make(chan struct{})
 }
 
 func (p *Platform) appendRecords(w http.ResponseWriter, r *http.Request) {
@@ -52,7 +53,7 @@
 		Records [][]byte `json:"records"`
 	}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || len(body.Records) == 0 {
-		http.Error(w, "an append needs records", http.StatusBadRequest)
+		http.Error(w, "append: invalid body or no records", http.StatusBadRequest)
 		return
 	}
 	if f := p.Faults(); f.LogDown {
@@ -61,58 +62,58 @@
 	} else if f.LogDelay > 0 {
 		time.Sleep(f.LogDelay)
 	}
-	if !p.takes(time.Now()) {
+	if !p.admitAppend(time.Now()) {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
 	call := Call{Kind: "append", Log: r.PathValue("log"), Records: body.Records}
-	if p.probe(call, false) {
+	if p.intercept(call, false) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	offset, lost := p.Append(call.Log, call.Records)
-	if p.probe(call, true) || lost {
-		breakOff()
+	offset, dropReply := p.Append(call.Log, call.Records)
+	if p.intercept(call, true) || dropReply {
+		abortConnection()
 	}
 	reply(w, struct {
 		Offset int64 `json:"offset"`
 	}{offset})
 }
 
-// appendSecond counts the appends of the present second, and those of any second that were refused.
-type appendSecond struct {
-	at      int64
-	taken   int
-	refused int
+// appendWindow counts the appends accepted in the current second, and all those refused so far.
+type appendWindow struct {
+	second   int64
+	accepted int
+	refused  int
 }
 
-// takes says whether one more append fits into the present second.
-func (p *Platform) takes(now time.Time) bool {
+// admitAppend reports whether one more append is within the limit of the current second.
+func (p *Platform) admitAppend(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if at := now.Unix(); at != p.second.at {
-		p.second.at, p.second.taken = at, 0
+	if second := now.Unix(); second != p.appendRate.second {
+		p.appendRate.second, p.appendRate.accepted = second, 0
 	}
-	if n := p.faults.AppendsPerSecond; n > 0 && p.second.taken >= n {
-		p.second.refused++
+	if n := p.faults.AppendsPerSecond; n > 0 && p.appendRate.accepted >= n {
+		p.appendRate.refused++
 		return false
 	}
-	p.second.taken++
+	p.appendRate.accepted++
 	return true
 }
 
-// Appends returns the appends that the logs took, and those that were refused because too many came in one second.
-func (p *Platform) Appends() (taken, refused int) {
+// Appends returns the number of appends that took effect, and of those refused by Faults.AppendsPerSecond.
+func (p *Platform) Appends() (accepted, refused int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.appends, p.second.refused
+	return p.appends, p.appendRate.refused
 }
 
-// Append adds the records and says whether the answer is to be lost.
-func (p *Platform) Append(name string, records [][]byte) (offset int64, lost bool) {
+// Append adds the records and reports whether the reply must be dropped.
+func (p *Platform) Append(name string, records [][]byte) (offset int64, dropReply bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.store(name)
+	l := p.logNamed(name)
 	p.appends++
 	offset = l.next()
 	l.add(records)
@@ -120,7 +121,7 @@
 		l.add(records)
 	}
 	l.trim(p.faults.Keep)
-	p.wake()
+	p.notifyReaders()
 	return offset, p.faults.LoseEvery > 0 && p.appends%p.faults.LoseEvery == 0
 }
 
@@ -132,10 +133,10 @@
 func (p *Platform) readRecords(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil || from < 0 {
-		http.Error(w, "from is an offset", http.StatusBadRequest)
+		http.Error(w, `query parameter "from" must be a non-negative offset`, http.StatusBadRequest)
 		return
 	}
-	wait, _ := time.ParseDuration(r.URL.Query().Get("wait")) // none means no wait
+	wait, _ := time.ParseDuration(r.URL.Query().Get("wait")) // absent or invalid: no wait
 	timeout := time.After(wait)
 	for {
 		page, status, changed := p.page(r.PathValue("log"), from)
@@ -155,6 +156,7 @@
 	}
 }
 
+// page is the reply to a read.
 type page struct {
 	First   int64    `json:"first"`
 	Next    int64    `json:"next"`
@@ -166,29 +168,30 @@
 	Data   []byte `json:"data"`
 }
 
+// page returns the records of the log from the offset on, the HTTP status, and a channel that is closed when a log grows.
 func (p *Platform) page(name string, from int64) (page, int, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.faults.LogDown {
-		return page{}, http.StatusServiceUnavailable, p.changed
+		return page{}, http.StatusServiceUnavailable, p.logsChanged
 	}
-	l := p.store(name)
+	l := p.logNamed(name)
 	out := page{First: l.first, Next: l.next(), Records: []record{}}
 	if from < l.first {
-		return out, http.StatusGone, p.changed
+		return out, http.StatusGone, p.logsChanged
 	}
-	bytes := 0
-	for o := from; o < l.next() && len(out.Records) < maxPageRecords && bytes < maxPageBytes; o++ {
-		data := l.records[o-l.first]
-		out.Records = append(out.Records, record{o, data})
-		bytes += len(data)
+	size := 0
+	for offset := from; offset < l.next() && len(out.Records) < maxPageRecords && size < maxPageBytes; offset++ {
+		data := l.records[offset-l.first]
+		out.Records = append(out.Records, record{offset, data})
+		size += len(data)
 	}
-	return out, http.StatusOK, p.changed
+	return out, http.StatusOK, p.logsChanged
 }
 
-// Records returns every record ever appended to the log, also those that it no longer keeps.
+// Records returns every record ever appended to the log, including those that it no longer retains.
 func (p *Platform) Records(name string) [][]byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([][]byte(nil), p.store(name).all...)
+	return append([][]byte(nil), p.logNamed(name).all...)
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -14,35 +14,35 @@
 	"rackstep.dev/provider"
 )
 
-// Platform is the stand-in for the platform's services.
+// Platform is an in-memory fake of the platform's services.
 type Platform struct {
 	// RebootTime is how long a reboot takes.
 	RebootTime time.Duration
-	// UsageLag is how old the reported usage of a task is.
+	// UsageLag is the age of the usage that is reported for a task.
 	UsageLag time.Duration
-	// Probe is called before and after each call that changes something takes effect; may be nil.
+	// Intercept is called before and after each modifying call takes effect; it may be nil.
 	//
-	// When it returns true, the call is refused before its effect, or its answer is lost after it.
+	// Returning true before the effect refuses the call; returning true after it drops the reply.
 	Probe func(call Call, after bool) bool
 
-	mu       sync.Mutex
-	faults   Faults
-	logs     map[string]*logStore
-	changed  chan struct{} // closed and replaced when a log grows
-	tasked   chan struct{} // closed and replaced when a task is ended by a call or with its machine
-	machines map[string]*machine
-	history  []snapshot
-	appends  int
-	second   appendSecond
-	calls    int
-	snaps    int
-	progress map[string]time.Duration
-	starts   map[string]int
-	cuts     []string
-	mux      *http.ServeMux
-}
-
-// Call is one call that changes something.
+	mu            sync.Mutex
+	faults        Faults
+	logs          map[string]*logStore
+	logsChanged   chan struct{} // closed and replaced when a log grows
+	tasksChanged  chan struct{} // closed and replaced when a call or the loss of its machine ends a task
+	machines      map[string]*machine
+	history       []snapshot
+	appends       int
+	appendRate    appendWindow
+	commandCalls  int
+	snapshots     int
+	progress      map[string]time.Duration // run time of each job's ended attempts, which a continued attempt skips
+	starts        map[string]int           // starts of each job from the beginning
+	interruptions []string
+	mux           *http.ServeMux
+}
+
+// Call is a modifying call.
 type Call struct {
 	// Kind is "append", "command" or "task".
 	Kind string
@@ -52,20 +52,20 @@
 	Instance string
 }
 
-func (p *Platform) probe(c Call, after bool) bool { return p.Probe != nil && p.Probe(c, after) }
+func (p *Platform) intercept(c Call, after bool) bool { return p.Probe != nil && p.Probe(c, after) }
 
 // machine is one listed instance.
 type machine struct {
-	listed provider.Listed
-	down   bool
-	// commanded says that a command has taken the machine down.
+	row  provider.Listed
+	down bool
+	// commanded is set while the machine is down because of a command.
 	commanded bool
 	target    *Target // nil for an entry or a worker without one
 	commands  map[string]*command
 	tasks     map[string]*task
 }
 
-// snapshot is the instance list at one time.
+// snapshot is the instance list as of a time.
 type snapshot struct {
 	at   time.Time
 	rows []provider.Listed
@@ -73,11 +73,11 @@
 	tag string
 }
 
-// New returns a platform without instances.
+// New returns a platform without instances, whose reboots take two seconds.
 func New() *Platform {
 	p := &Platform{
 		RebootTime: 2 * time.Second,
-		logs:       make(map[string]*logStore), changed: make(chan struct{}), tasked: make(chan struct{}), machines: make(map[string]*machine),
+		logs:       make(map[string]*logStore), logsChanged: make(chan struct{}), tasksChanged: make(chan struct{}), machines: make(map[string]*machine),
 		progress: make(map[string]time.Duration), starts: make(map[string]int), mux: http.NewServeMux(),
 	}
 	p.mux.HandleFunc("POST /v1/logs/{log}/records", p.appendRecords)
@@ -96,10 +96,10 @@
 	return p
 }
 
-// ServeHTTP answers entries and tests.
+// ServeHTTP serves the platform's HTTP interface.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
-// Put lists the instance, or lists it anew; target may be nil.
+// Put adds the instance to the list or replaces its row; target may be nil.
 func (p *Platform) Put(row provider.Listed, target *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,12 +108,12 @@
 		m = &machine{commands: make(map[string]*command), tasks: make(map[string]*task)}
 		p.machines[row.ID] = m
 	}
-	m.listed = row
+	m.row = row
 	m.target = target
-	p.snap()
+	p.takeSnapshot()
 }
 
-// SetDown takes the instance out of the list and fails its target, or brings both back.
+// SetDown removes the instance from the list and makes its target unreachable, or restores both.
 func (p *Platform) SetDown(id string, down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,45 +128,46 @@
 		m.target.setDown(down, m.commanded)
 	}
 	if down {
-		m.killTasks(time.Now())
-		p.wakeHolds()
+		m.stopTasks(time.Now())
+		p.notifyHolds()
 	}
-	p.snap()
+	p.takeSnapshot()
 }
 
-// Delete takes the instance out of the list for good.
+// Delete removes the instance permanently.
 func (p *Platform) Delete(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.machines, id)
-	p.wakeHolds()
-	p.snap()
+	p.notifyHolds()
+	p.takeSnapshot()
 }
 
-// Cuts returns what the platform saw that must never happen.
+// Interruptions describes each task or request that a command interrupted, which must never happen.
 func (p *Platform) Cuts() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.cuts...)
+	return append([]string(nil), p.interruptions...)
 }
 
-func (p *Platform) snap() {
+// takeSnapshot adds the current list to the history, from which ListLag serves older ones; the caller holds mu.
+func (p *Platform) takeSnapshot() {
 	now := time.Now()
 	var rows []provider.Listed
 	for _, m := range p.machines {
 		if !m.down {
-			rows = append(rows, m.listed)
+			rows = append(rows, m.row)
 		}
 	}
-	p.snaps++
-	p.history = append(p.history, snapshot{now, rows, strconv.Quote(strconv.Itoa(p.snaps))})
-	const kept = 256
-	if len(p.history) > kept {
-		p.history = append([]snapshot(nil), p.history[len(p.history)-kept:]...)
+	p.snapshots++
+	p.history = append(p.history, snapshot{now, rows, strconv.Quote(strconv.Itoa(p.snapshots))})
+	const maxHistory = 256
+	if len(p.history) > maxHistory {
+		p.history = append([]snapshot(nil), p.history[len(p.history)-maxHistory:]...)
 	}
 }
 
-// Settle makes the list as it is now the oldest one that a lag can show.
+// DropListHistory discards older instance lists, so that ListLag can't show a list from before the call.
 func (p *Platform) Settle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,10 +184,10 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	at := time.Now().Add(-p.faults.ListLag)
+	asOf := time.Now().Add(-p.faults.ListLag)
 	rows, tag := []provider.Listed{}, `"none"`
 	for _, s := range p.history {
-		if !s.at.After(at) {
+		if !s.at.After(asOf) {
 			rows, tag = s.rows, s.tag
 		}
 	}
@@ -205,7 +206,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Encoding", "gzip")
 	z := gzip.NewWriter(w)
-	_ = json.NewEncoder(z).Encode(list) // a client that has gone asks again
+	_ = json.NewEncoder(z).Encode(list) // a disconnected client retries
 	_ = z.Close()
 }
 
@@ -242,8 +243,8 @@
 
 func reply(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // a client that has gone asks again
+	_ = json.NewEncoder(w).Encode(body) // a disconnected client retries
 }
 
-// breakOff ends the connection without an answer.
-func breakOff() { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection without a reply.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -14,92 +14,92 @@
 	"rackstep.dev/serve"
 )
 
-// TargetFaults are a target's switches; the zero value is a sound target.
+// TargetFaults selects a target's faults; the zero value is a target without faults.
 type TargetFaults struct {
-	// Fail answers every request with status 500 at once.
+	// Fail replies to every request with status 500, without a delay.
 	Fail bool
-	// Reset breaks the connection off before the answer, after the request ran.
+	// Reset closes the connection after the request ran and before the reply.
 	Reset bool
-	// Truncate breaks the connection off in the middle of the answer.
+	// Truncate closes the connection in the middle of the reply.
 	Truncate bool
 	// Delay is added to every request.
 	Delay time.Duration
 }
 
-// Target is the stand-in for the program that runs a service's requests on an instance.
+// Target is a fake of the program that runs a service's requests on an instance.
 type Target struct {
-	// Instance names it in its answers.
+	// Instance is the instance ID that the replies carry.
 	Instance string
-	// Slots and Connections are its limits; the brief's 8 and 64 when 0.
+	// Slots is the number of requests that run at once; 8 when 0. Connections is not enforced; compare Counts.PeakConnections instead.
 	Slots, Connections int
 
 	mu     sync.Mutex
 	faults TargetFaults
 	down   bool
-	// commanded says that the instance is down for planned work.
-	commanded bool
-	busy      int
-	peak      int
-	conns     map[net.Conn]bool
-	peakConn  int
-	late      int
-	refused   int
-	ran       map[string]int
+	// commanded is set while the instance is down because of a command, that is, for planned maintenance.
+	commanded         bool
+	inFlight          int
+	peakInFlight      int
+	conns             map[net.Conn]bool
+	peakConns         int
+	duringMaintenance int
+	refused           int
+	runsByMark        map[string]int
 }
 
-// Counts is what a target saw.
+// Counts holds a target's statistics.
 type Counts struct {
-	// Peak is the most requests at once, PeakConnections the most connections.
+	// Peak is the maximum number of concurrent requests, PeakConnections that of open connections.
 	Peak, PeakConnections int
-	// Late are requests that came while the instance was down for planned work, Refused those above its slots.
+	// DuringMaintenance counts requests that arrived while the instance was down for planned maintenance, Refused those beyond its slots.
 	Late, Refused int
-	// Ran counts the runs of each request that was marked, by its mark.
+	// RunsByMark counts the runs of each request with a mark.
 	Ran map[string]int
 }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the faults.
 func (t *Target) SetFaults(f TargetFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// setDown makes the target break off every connection; commanded says that a command took its instance down.
+// setDown makes the target close every connection, or accept them again; commanded is set when a command took its instance down.
 func (t *Target) setDown(down, commanded bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.down, t.commanded = down, commanded
 	if down {
 		for c := range t.conns {
-			_ = c.Close() // it may be closed already
+			_ = c.Close() // may already be closed
 		}
 	}
 }
 
-// InFlight returns the requests that run now.
+// InFlight returns the number of requests that run now.
 func (t *Target) InFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.busy
+	return t.inFlight
 }
 
-// Counts returns what the target saw so far.
+// Counts returns the statistics so far.
 func (t *Target) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ran := make(map[string]int, len(t.ran))
-	for k, v := range t.ran {
-		ran[k] = v
+	runs := make(map[string]int, len(t.runsByMark))
+	for mark, n := range t.runsByMark {
+		runs[mark] = n
 	}
-	return Counts{Peak: t.peak, PeakConnections: t.peakConn, Late: t.late, Refused: t.refused, Ran: ran}
+	return Counts{Peak: t.peakInFlight, PeakConnections: t.peakConns, Late: t.duringMaintenance, Refused: t.refused, Ran: runs}
 }
 
 // Server returns an HTTP server for the target.
 func (t *Target) Server() *http.Server {
-	return &http.Server{Handler: t, ConnState: t.connState, ReadHeaderTimeout: 5 * time.Second}
+	return &http.Server{Handler: t, ConnState: t.trackConn, ReadHeaderTimeout: 5 * time.Second}
 }
 
-func (t *Target) connState(c net.Conn, s http.ConnState) {
+func (t *Target) trackConn(c net.Conn, s http.ConnState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conns == nil {
@@ -111,35 +111,37 @@
 	case http.StateClosed, http.StateHijacked:
 		delete(t.conns, c)
 	}
-	t.peakConn = max(t.peakConn, len(t.conns))
+	t.peakConns = max(t.peakConns, len(t.conns))
 }
 
-// ServeHTTP runs a request. Query: ms is its time, mark is counted in Counts.Ran, size is the answer's length.
+// ServeHTTP runs a request. Query parameters: ms is its duration in milliseconds, mark is counted in Counts.RunsByMark, and size is the
+// length of the reply's padding.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	f, ok := t.enter(w)
+	f, ok := t.acquireSlot(w)
 	if !ok {
 		return
 	}
-	defer t.leave()
+	defer t.releaseSlot()
 	if f.Fail {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	if mark := q.Get("mark"); mark != "" {
 		t.mu.Lock()
-		if t.ran == nil {
-			t.ran = make(map[string]int)
+		if t.runsByMark == nil {
+			t.runsByMark = make(map[string]int)
 		}
-		t.ran[mark]++
+		t.runsByMark[mark]++
 		t.mu.Unlock()
 	}
-	ms, _ := strconv.ParseFloat(q.Get("ms"), 64) // none means at once
-	wait(r, time.Duration(ms*float64(time.Millisecond))+f.Delay)
+	ms, _ := strconv.ParseFloat(q.Get("ms"), 64) // absent or invalid: no delay
+	sleepOrCancel(r, time.Duration(ms*float64(time.Millisecond))+f.Delay)
 	t.answer(w, r, f)
 }
 
-func wait(r *http.Request, d time.Duration) {
+// sleepOrCancel waits for the duration or until the request is cancelled.
+func sleepOrCancel(r *http.Request, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -151,24 +153,24 @@
 	}
 }
 
-// enter takes a slot, or answers that there is none.
-func (t *Target) enter(w http.ResponseWriter) (TargetFaults, bool) {
+// acquireSlot takes a slot, or replies that the target is busy. It closes the connection when the target is down.
+func (t *Target) acquireSlot(w http.ResponseWriter) (TargetFaults, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.down {
 		if t.commanded {
-			t.late++
+			t.duringMaintenance++
 		}
-		breakOff()
+		abortConnection()
 	}
-	if t.busy >= orDefault(t.Slots, 8) {
+	if t.inFlight >= orDefault(t.Slots, 8) {
 		t.refused++
 		w.Header().Set(serve.HeaderNotRun, "busy")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return TargetFaults{}, false
 	}
-	t.busy++
-	t.peak = max(t.peak, t.busy)
+	t.inFlight++
+	t.peakInFlight = max(t.peakInFlight, t.inFlight)
 	return t.faults, true
 }
 
@@ -179,17 +181,17 @@
 	return v
 }
 
-func (t *Target) leave() {
+func (t *Target) releaseSlot() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.busy--
+	t.inFlight--
 }
 
 func (t *Target) answer(w http.ResponseWriter, r *http.Request, f TargetFaults) {
 	if f.Reset {
-		breakOff()
+		abortConnection()
 	}
-	size, _ := strconv.Atoi(r.URL.Query().Get("size")) // none means the short answer
+	size, _ := strconv.Atoi(r.URL.Query().Get("size")) // absent or invalid: no padding
 	body, err := json.Marshal(struct {
 		Instance string `json:"instance"`
 		Path     string `json:"path"`
@@ -204,7 +206,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if f.Truncate {
 		_, _ = w.Write(body[:len(body)/2])
-		breakOff()
+		abortConnection()
 	}
-	_, _ = w.Write(body) // a client that has gone needs no answer
+	_, _ = w.Write(body) // a disconnected client needs no reply
 }
--- a/internal/standin/work.go
+++ b/internal/standin/tasks.go
@@ -13,29 +13,29 @@
 	"rackstep.dev/provider"
 )
 
-// command is a reboot or stop that was asked for.
+// command is a reboot or stop of an instance.
 type command struct {
 	verb    provider.Verb
 	expired bool
-	until   time.Time
+	doneAt  time.Time
 }
 
 // task is one attempt of a job.
 type task struct {
-	state    provider.TaskState
-	fails    bool
-	ends     time.Time
-	lease    time.Time
-	leaseFor time.Duration
-	began    time.Time
-	duration time.Duration
-	// uses is what the task would use, limit the cores that it may use; any when 0.
-	uses  provider.Usage
-	limit int
+	state         provider.TaskState
+	fails         bool
+	finishesAt    time.Time
+	leaseEnds     time.Time
+	leaseDuration time.Duration
+	startedAt     time.Time
+	duration      time.Duration
+	// demand is the usage without a limit, coreLimit the number of cores that the task may use; unlimited when 0.
+	demand    provider.Usage
+	coreLimit int
 }
 
-// machineOf returns the instance of the request, or nil after it has answered; the caller holds mu.
-func (p *Platform) machineOf(w http.ResponseWriter, r *http.Request) *machine {
+// machineOrReply returns the instance that the request names, or sends an error reply and returns nil; the caller holds mu.
+func (p *Platform) machineOrReply(w http.ResponseWriter, r *http.Request) *machine {
 	if p.faults.CommandsDown {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return nil
@@ -47,35 +47,36 @@
 	return m
 }
 
-// lose breaks the connection off after every n-th call that took effect; the caller holds mu by defer.
-func (p *Platform) lose() {
-	p.calls++
-	if n := p.faults.LoseCommands; n > 0 && p.calls%n == 0 {
-		breakOff()
+// maybeDropReply closes the connection after every n-th call that took effect, per Faults.DropCommandReplyEvery. It panics to do so, so the
+// caller must release mu in a deferred call.
+func (p *Platform) maybeDropReply() {
+	p.commandCalls++
+	if n := p.faults.LoseCommands; n > 0 && p.commandCalls%n == 0 {
+		abortConnection()
 	}
 }
 
 func (p *Platform) runCommand(w http.ResponseWriter, r *http.Request) {
-	var order provider.Command
-	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+	var req provider.Command
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	call := Call{Kind: "command", Instance: r.PathValue("instance")}
-	if p.probe(call, false) {
+	if p.intercept(call, false) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	p.applyCommand(w, r, order)
-	if p.probe(call, true) {
-		breakOff()
+	p.applyCommand(w, r, req)
+	if p.intercept(call, true) {
+		abortConnection()
 	}
 }
 
-func (p *Platform) applyCommand(w http.ResponseWriter, r *http.Request, order provider.Command) {
+func (p *Platform) applyCommand(w http.ResponseWriter, r *http.Request, req provider.Command) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.machineOf(w, r)
+	m := p.machineOrReply(w, r)
 	if m == nil {
 		return
 	}
@@ -83,25 +84,25 @@
 	c := m.commands[id]
 	if c == nil {
 		now := time.Now()
-		c = &command{verb: order.Verb, expired: now.After(order.NotAfter), until: now.Add(p.RebootTime)}
+		c = &command{verb: req.Verb, expired: now.After(req.NotAfter), doneAt: now.Add(p.RebootTime)}
 		m.commands[id] = c
 		if !c.expired {
-			p.begin(m, c)
+			p.startCommand(m, c)
 		}
 	}
-	p.lose()
+	p.maybeDropReply()
 	replyState(w, c.state())
 }
 
-// begin takes the machine down for the command; what still runs on it is cut.
-func (p *Platform) begin(m *machine, c *command) {
+// startCommand takes the machine down for the command and records the tasks and requests that this interrupts.
+func (p *Platform) startCommand(m *machine, c *command) {
 	for id, t := range m.tasks {
 		if t.stateAt(time.Now()) == provider.TaskRunning {
-			p.cuts = append(p.cuts, fmt.Sprintf("%s of %s cut task %s", c.verb, m.listed.ID, id))
+			p.interruptions = append(p.interruptions, fmt.Sprintf("%s of %s interrupted task %s", c.verb, m.row.ID, id))
 		}
 	}
 	if m.target != nil && m.target.InFlight() > 0 {
-		p.cuts = append(p.cuts, fmt.Sprintf("%s of %s cut a request", c.verb, m.listed.ID))
+		p.interruptions = append(p.interruptions, fmt.Sprintf("%s of %s interrupted a request", c.verb, m.row.ID))
 	}
 	m.commanded = true
 	p.setDown(m, true)
@@ -121,7 +122,7 @@
 		return provider.CommandUnknown
 	case c.expired:
 		return provider.CommandExpired
-	case time.Now().Before(c.until):
+	case time.Now().Before(c.doneAt):
 		return provider.CommandRunning
 	}
 	return provider.CommandDone
@@ -130,7 +131,7 @@
 func (p *Platform) readCommand(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.machineOf(w, r); m != nil {
+	if m := p.machineOrReply(w, r); m != nil {
 		replyState(w, m.commands[r.PathValue("command")].state())
 	}
 }
@@ -142,26 +143,26 @@
 }
 
 func (p *Platform) startTask(w http.ResponseWriter, r *http.Request) {
-	var order provider.Task
-	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+	var req provider.Task
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	call := Call{Kind: "task", Instance: r.PathValue("instance")}
-	if p.probe(call, false) {
+	if p.intercept(call, false) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	p.applyTask(w, r, order)
-	if p.probe(call, true) {
-		breakOff()
+	p.applyTask(w, r, req)
+	if p.intercept(call, true) {
+		abortConnection()
 	}
 }
 
-func (p *Platform) applyTask(w http.ResponseWriter, r *http.Request, order provider.Task) {
+func (p *Platform) applyTask(w http.ResponseWriter, r *http.Request, req provider.Task) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.machineOf(w, r)
+	m := p.machineOrReply(w, r)
 	if m == nil {
 		return
 	}
@@ -172,57 +173,58 @@
 	id := r.PathValue("task")
 	t := m.tasks[id]
 	if t == nil {
-		t = p.newTask(jobOf(id), order)
+		t = p.newTask(jobOf(id), req)
 		m.tasks[id] = t
 	}
-	t.lease = time.Now().Add(t.leaseFor)
-	t.limit = order.Limit
-	p.lose()
-	p.report(w, t)
+	t.leaseEnds = time.Now().Add(t.leaseDuration)
+	t.coreLimit = req.Limit
+	p.maybeDropReply()
+	p.replyReport(w, t)
 }
 
-// report answers with the task's state and, once it is old enough, its usage.
-func (p *Platform) report(w http.ResponseWriter, t *task) { reply(w, p.reportOf(t, time.Now())) }
+// replyReport replies with the task's state and, once UsageLag has passed, its usage.
+func (p *Platform) replyReport(w http.ResponseWriter, t *task) { reply(w, p.reportOf(t, time.Now())) }
 
 func (p *Platform) reportOf(t *task, now time.Time) provider.TaskReport {
 	report := provider.TaskReport{State: t.stateAt(now)}
-	if t != nil && report.State == provider.TaskRunning && now.Sub(t.began) >= p.UsageLag {
-		report.Usage = t.usage(now.Sub(t.began) - p.UsageLag)
+	if t != nil && report.State == provider.TaskRunning && now.Sub(t.startedAt) >= p.UsageLag {
+		report.Usage = t.usageAfter(now.Sub(t.startedAt) - p.UsageLag)
 	}
 	return report
 }
 
-func (t *task) usage(ran time.Duration) *provider.Usage {
-	u := t.uses
+// usageAfter returns the usage of a task that has run for the duration.
+func (t *task) usageAfter(ran time.Duration) *provider.Usage {
+	u := t.demand
 	u.Ran = ran
-	if t.limit > 0 {
-		u.Cores = min(u.Cores, float64(t.limit))
+	if t.coreLimit > 0 {
+		u.Cores = min(u.Cores, float64(t.coreLimit))
 	}
 	return &u
 }
 
-// newTask begins a task; its command is "run DURATION", "run DURATION use CORES" or "fail".
-func (p *Platform) newTask(job string, order provider.Task) *task {
+// newTask starts a task; its command is "run DURATION", "run DURATION use CORES" or "fail".
+func (p *Platform) newTask(job string, req provider.Task) *task {
 	now := time.Now()
-	t := &task{state: provider.TaskRunning, began: now, leaseFor: order.Lease, lease: now.Add(order.Lease)}
-	word, rest, _ := strings.Cut(order.Command, " ")
-	t.fails = word == "fail"
-	length, uses, _ := strings.Cut(rest, " use ")
-	t.duration, _ = time.ParseDuration(length) // none ends at once
-	t.uses = provider.Usage{Cores: float64(order.Cores), MemoryMB: order.MemoryMB}
-	if cores, err := strconv.ParseFloat(uses, 64); err == nil {
-		t.uses.Cores = cores
+	t := &task{state: provider.TaskRunning, startedAt: now, leaseDuration: req.Lease, leaseEnds: now.Add(req.Lease)}
+	verb, rest, _ := strings.Cut(req.Command, " ")
+	t.fails = verb == "fail"
+	length, usedCores, _ := strings.Cut(rest, " use ")
+	t.duration, _ = time.ParseDuration(length) // absent or invalid: ends immediately
+	t.demand = provider.Usage{Cores: float64(req.Cores), MemoryMB: req.MemoryMB}
+	if cores, err := strconv.ParseFloat(usedCores, 64); err == nil {
+		t.demand.Cores = cores
 	}
-	if order.Continue {
+	if req.Continue {
 		t.duration = max(0, t.duration-p.progress[job])
 	} else {
 		p.starts[job]++
 	}
-	t.ends = now.Add(t.duration)
+	t.finishesAt = now.Add(t.duration)
 	return t
 }
 
-// jobOf returns the job of an attempt's ID.
+// jobOf returns the job ID of an attempt ID, which is JOB.ATTEMPT.
 func jobOf(id string) string {
 	if i := strings.LastIndexByte(id, '.'); i >= 0 {
 		return id[:i]
@@ -230,7 +232,7 @@
 	return id
 }
 
-// Starts returns how often each job was begun anew.
+// Starts returns how often each job was started from the beginning, that is, not continued from a checkpoint.
 func (p *Platform) Starts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -247,18 +249,19 @@
 		return provider.TaskUnknown
 	case t.state != provider.TaskRunning:
 		return t.state
-	case !now.Before(t.ends):
+	case !now.Before(t.finishesAt):
 		if t.fails {
 			return provider.TaskFailed
 		}
 		return provider.TaskDone
-	case now.After(t.lease):
+	case now.After(t.leaseEnds):
 		return provider.TaskStopped
 	}
 	return provider.TaskRunning
 }
 
-func (m *machine) killTasks(now time.Time) {
+// stopTasks stops the machine's running tasks.
+func (m *machine) stopTasks(now time.Time) {
 	for _, t := range m.tasks {
 		if t.stateAt(now) == provider.TaskRunning {
 			t.state = provider.TaskStopped
@@ -269,8 +272,8 @@
 func (p *Platform) readTask(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.machineOf(w, r); m != nil {
-		p.report(w, m.tasks[r.PathValue("task")])
+	if m := p.machineOrReply(w, r); m != nil {
+		p.replyReport(w, m.tasks[r.PathValue("task")])
 	}
 }
 
@@ -282,10 +285,11 @@
 	p.endTask(w, r, provider.TaskCheckpointed)
 }
 
+// endTask ends a running task in the given state. The ID of an unknown task becomes void, so that a later start of it has no effect.
 func (p *Platform) endTask(w http.ResponseWriter, r *http.Request, as provider.TaskState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.machineOf(w, r)
+	m := p.machineOrReply(w, r)
 	if m == nil {
 		return
 	}
@@ -298,11 +302,11 @@
 		m.tasks[id] = t
 	case t.stateAt(now) == provider.TaskRunning:
 		t.state = as
-		p.progress[jobOf(id)] += now.Sub(t.began)
+		p.progress[jobOf(id)] += now.Sub(t.startedAt)
 	default:
 		t.state = t.stateAt(now)
 	}
-	p.wakeHolds()
-	p.lose()
+	p.notifyHolds()
+	p.maybeDropReply()
 	replyState(w, t.state)
 }
