--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,25 +1,28 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package soak is a randomized soak of the real programs: entries as processes on
-loopback, the stand-in of the users' platform beside them, and faults from
-outside. It holds tests only.
+Package soak is a randomized soak test of the real programs: entries as
+processes on loopback, a fake of the users' platform beside them, and injected
+faults. It holds tests only.
 
 	go test ./internal/soak                                    # a short run with fixed seeds, as in CI
-	go test ./internal/soak -seeds 50 -first 100 -lasts 20s    # by hand
+	go test ./internal/soak -seeds 50 -first 100 -lasts 20s    # a longer run by hand
 
-Signals stop, pause, kill and restart the processes; a proxy before the store
-delays, resets or silences what an entry says to it, one way or both; the
-platform refuses calls, loses answers or carries orders out late, and its
-workers crash, with odd seeds to come back under the IDs that they had; one job
-in 64 holds a task that crashes whatever worker starts it. Clients keep their connections open. While it runs and at its end the
-workers' own history must show no task run twice at a time or again after an
-acknowledged success, and none started three times more after three workers
-have crashed under it; once the faults are over every accepted job must succeed,
-but for those with such a task, which must be shown as failed, and those under
-which two workers have crashed, which may be; no refused one may be known.
+Signals stop, pause, kill and restart the processes. A proxy before the store
+delays or resets an entry's connections, or drops their data in one or both
+directions. The platform refuses calls, drops replies or executes orders late.
+Its workers crash; with odd seeds they come back under the same IDs. One job in
+64 has a task that crashes every worker that starts it. Clients keep their
+connections open.
 
-A seed decides which faults come when. It does not decide how processes are
-scheduled, so that a seed that failed is kept in regressions with its cause.
+During the run and at its end, the workers' own history must show no task that
+ran twice at a time or again after an acknowledged success, and no task that was
+started three more times after three workers have crashed under it. Once the
+faults are over, every accepted job must succeed, with two exceptions: a job
+with a crashing task must be shown as failed, and a job under which two workers
+have crashed may be. No rejected job may be known.
+
+A seed determines the faults and their times. It doesn't determine how processes
+are scheduled, so a seed that failed is kept in regressions with its cause.
 */
 package soak
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// proxy passes connections on to a target, and harms them on demand.
+// proxy forwards connections to a target and injects faults.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -18,7 +18,7 @@
 	conns map[net.Conn]bool
 	// delay holds every piece back; deafUp and deafDown drop what goes to the target or comes from it.
 	delay            time.Duration
-	deafUp, deafDown bool
+	dropUp, dropDown bool
 }
 
 func newProxy(address, target string) (*proxy, error) {
@@ -37,11 +37,11 @@
 		if err != nil {
 			return
 		}
-		go p.pass(c)
+		go p.forward(c)
 	}
 }
 
-func (p *proxy) pass(c net.Conn) {
+func (p *proxy) forward(c net.Conn) {
 	defer c.Close()
 	up, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -51,8 +51,8 @@
 	p.track(c, true)
 	defer p.track(c, false)
 	done := make(chan struct{}, 2)
-	go func() { p.copy(up, c, func() bool { return p.deafUp }); done <- struct{}{} }()
-	go func() { p.copy(c, up, func() bool { return p.deafDown }); done <- struct{}{} }()
+	go func() { p.copy(up, c, func() bool { return p.dropUp }); done <- struct{}{} }()
+	go func() { p.copy(c, up, func() bool { return p.dropDown }); done <- struct{}{} }()
 	<-done
 }
 
@@ -66,16 +66,16 @@
 	delete(p.conns, c)
 }
 
-// copy passes bytes on; those that come while the direction is deaf are lost, as if a cut had held them up.
-func (p *proxy) copy(to io.Writer, from io.Reader, deaf func() bool) {
+// copy forwards data and drops what arrives while drop returns true, as a network partition does. It calls drop with mu held.
+func (p *proxy) copy(to io.Writer, from io.Reader, drop func() bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		p.mu.Lock()
-		delay, lost := p.delay, deaf()
+		delay, dropped := p.delay, drop()
 		p.mu.Unlock()
 		time.Sleep(delay)
-		if n > 0 && !lost {
+		if n > 0 && !dropped {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -86,19 +86,19 @@
 	}
 }
 
-func (p *proxy) set(delay time.Duration, up, down bool) {
+func (p *proxy) setFaults(delay time.Duration, up, down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay, p.deafUp, p.deafDown = delay, up, down
+	p.delay, p.dropUp, p.dropDown = delay, up, down
 }
 
-// reset breaks every connection off.
+// reset closes every connection with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a reset instead of an orderly end
+			_ = t.SetLinger(0) // sends RST instead of FIN
 		}
 		_ = c.Close()
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -29,50 +29,52 @@
 	"rackstep.dev/job"
 )
 
-// Flags of a soak by hand; without them the runs are short, as CI needs them.
+// Flags for longer runs; the defaults suit CI.
 var (
-	seeds = flag.Int("seeds", 1, "how many seeds to run")
-	first = flag.Uint64("first", 1, "the first seed")
-	lasts = flag.Duration("lasts", 5*time.Second, "how long the faults of one seed last")
+	seeds    = flag.Int("seeds", 1, "number of seeds to run")
+	first    = flag.Uint64("first", 1, "the first seed")
+	duration = flag.Duration("lasts", 5*time.Second, "how long faults are injected for each seed")
 )
 
-// regressions are seeds that failed once, each with its cause.
+// regressions holds seeds that have failed, each with its cause.
 var regressions = []uint64{}
 
-// Sizes of a soak: a few processes on one machine.
+// Sizes of a run: a few processes on one machine.
 const (
 	entries = 3
 	workers = 5
 	clients = 4
-	// crashesEach is which of the jobs has a task that crashes what starts it.
-	crashesEach = 64
-	// settles is how long accepted jobs may take after the last fault.
-	settles = 60 * time.Second
+	// crashEvery is the interval of jobs with a task that crashes every worker that starts it.
+	crashEvery = 64
+	// recoveryTime is the time after the last fault within which all accepted jobs must end.
+	recoveryTime = 60 * time.Second
 )
 
-// crashes says whether the job has a task that crashes its workers.
-func crashes(id string) bool {
+// crashesWorker reports whether the job has a task that crashes its workers.
+func crashesWorker(id string) bool {
 	n, err := strconv.ParseUint(id, 16, 64)
-	return err == nil && n%crashesEach == crashesEach/2
+	return err == nil && n%crashEvery == crashEvery/2
 }
 
+// TestSoak guards against tasks that run twice or after their success, lost jobs, known rejected jobs, and revoked keys that are accepted, when
+// processes, links, workers and the store fail in random order.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "rackstepd")
 	build := exec.Command("go", "build", "-o", program, "rackstep.dev/cmd/rackstepd")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	list := append([]uint64{}, regressions...)
+	toRun := append([]uint64{}, regressions...)
 	for i := range uint64(*seeds) {
-		list = append(list, *first+i)
+		toRun = append(toRun, *first+i)
 	}
-	for _, seed := range list {
+	for _, seed := range toRun {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { soak(quicktest.New(t), program, seed) })
 	}
 }
 
-// site is one soak.
-type site struct {
+// harness holds the state of one run.
+type harness struct {
 	c        *quicktest.C
 	program  string
 	dir      string
@@ -80,38 +82,38 @@
 	entries  [entries]*process
 	random   *rand.Rand
 
-	mu                sync.Mutex
-	accepted, refused []string
-	next              int
-	// version is the newest configuration's; withdrawn are keys that it does not hold any more, and since when.
-	version   int
-	withdrawn map[string]time.Time
+	mu                 sync.Mutex
+	accepted, rejected []string
+	lastJob            int
+	// version is that of the latest configuration; revoked maps the keys that it no longer contains to the time of their removal.
+	version int
+	revoked map[string]time.Time
 }
 
-// process is one entry.
+// process is the process of one entry.
 type process struct {
 	ip, settings, log string
 	proxy             *proxy
 	cmd               *exec.Cmd
-	ended             chan struct{}
+	exited            chan struct{}
 }
 
-// local moves an address of the stand-in to loopback.
-func local(address string) string {
+// loopback maps an address of the platform to a loopback address.
+func loopback(address string) string {
 	host, _, _ := net.SplitHostPort(address)
 	return "127" + strings.TrimPrefix(host, "10") + ":18480"
 }
 
 func soak(c *quicktest.C, program string, seed uint64) {
-	s := &site{c: c, program: program, dir: c.TempDir(), random: rand.New(rand.NewPCG(seed, 7))}
+	s := &harness{c: c, program: program, dir: c.TempDir(), random: rand.New(rand.NewPCG(seed, 7))}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.platform = &platformtest.Platform{
-		Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }, At: local, Off: "spare", Lease: 6 * time.Second, Reborn: seed%2 == 1,
+		Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }, At: loopback, Off: "spare", Lease: 6 * time.Second, Reborn: seed%2 == 1,
 		Takes: func(task string) time.Duration {
 			return 200*time.Millisecond + time.Duration(task[15]%16)*60*time.Millisecond
 		},
 		Crashes: func(task string) time.Duration {
-			if id, rest, _ := strings.Cut(task, "."); !crashes(id) || rest != "0.0.0" {
+			if id, rest, _ := strings.Cut(task, "."); !crashesWorker(id) || rest != "0.0.0" {
 				return 0
 			}
 			return 10 * time.Millisecond
@@ -125,36 +127,37 @@
 	}
 	s.publish()
 	for i := range s.entries {
-		s.prepare(i)
-		s.run(i)
+		s.configureEntry(i)
+		s.startEntry(i)
 	}
-	s.c.Cleanup(s.keepLogs)
-	defer s.endAll()
+	s.c.Cleanup(s.saveLogs)
+	defer s.stopAll()
 	time.Sleep(2500 * time.Millisecond)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
 	for i := range clients {
-		load.Go(func() { s.client(i, stop) })
+		load.Go(func() { s.submitJobs(i, stop) })
 	}
-	load.Go(func() { s.stranger(stop) })
-	for end := time.Now().Add(*lasts); time.Now().Before(end); {
-		s.fault()
+	load.Go(func() { s.revokedKeyClient(stop) })
+	for end := time.Now().Add(*duration); time.Now().Before(end); {
+		s.injectFault()
 		time.Sleep(time.Duration(100+s.random.IntN(700)) * time.Millisecond)
 		c.Assert(s.platform.Check(), quicktest.HasLen, 0, quicktest.Commentf("seed %d; logs in %s", seed, logsDir()))
 	}
-	s.heal()
+	s.clearFaults()
 	close(stop)
 	load.Wait()
-	s.settle(seed)
+	s.checkOutcomes(seed)
 }
 
-// publish publishes the next configuration: each brings a key of its own and takes the one of the version before away. Clients use keys that stay.
-func (s *site) publish() {
+// publish publishes the next version of the configuration. Each version adds a key of its own and revokes that of the version before; clients use
+// permanentKeys.
+func (s *harness) publish() {
 	s.mu.Lock()
 	if s.version > 0 {
-		s.withdrawn[versionKey(s.version)] = time.Now()
+		s.revoked[versionKey(s.version)] = time.Now()
 	} else {
-		s.withdrawn = make(map[string]time.Time)
+		s.revoked = make(map[string]time.Time)
 	}
 	s.version++
 	version := s.version
@@ -163,27 +166,27 @@
 		"Routes":   []map[string]any{{"Name": "q", "Host": "h.example", "PathPrefix": "/q/", "Service": "pool-a", "Attempts": 3, "Stretch": 2, "TargetLatencyMs": 1000}},
 		"Services": []map[string]any{{"Name": "pool-a", "AdmissionCheck": true}, {"Name": "spare", "Headroom": true}},
 	},
-		platformtest.Organisation{Name: "even", Keys: []string{keys[0], versionKey(version)}, Weight: 100, Cap: map[string]int{"Cpu": 6000 + 300*(version%5)}},
-		platformtest.Organisation{Name: "odd", Keys: []string{keys[1]}, Weight: 50},
+		platformtest.Organisation{Name: "even", Keys: []string{permanentKeys[0], versionKey(version)}, Weight: 100, Cap: map[string]int{"Cpu": 6000 + 300*(version%5)}},
+		platformtest.Organisation{Name: "odd", Keys: []string{permanentKeys[1]}, Weight: 50},
 	)
 }
 
-// keys are those that the organisations keep.
-var keys = [...]string{"soak-key-of-the-even", "soak-key-of-the-odd-"}
+// permanentKeys are the keys that every version contains, one for each organisation.
+var permanentKeys = [...]string{"soak-key-of-the-even", "soak-key-of-the-odd-"}
 
-// keyOf returns the key of the organisation that hands the job in.
-func keyOf(id string) string {
-	n, _ := strconv.ParseUint(id, 16, 64) // the soak's own
-	return keys[n%2]
+// keyForJob returns the key of the organisation that submits the job.
+func keyForJob(id string) string {
+	n, _ := strconv.ParseUint(id, 16, 64) // can't fail: generated by submitJobs
+	return permanentKeys[n%2]
 }
 
 func versionKey(version int) string { return fmt.Sprintf("soak-key-of-version-%d", version) }
 
-// counts is for how long a withdrawn key may count: the time to apply and the skew of the settings, and what a call takes.
-const counts = 3*time.Second + 3*time.Second + 4*time.Second
+// revocationGrace is how long a revoked key may still be accepted: ConfigApplyMs and MaxSkewMs of the settings, plus the duration of a call.
+const revocationGrace = 3*time.Second + 3*time.Second + 4*time.Second
 
-// stranger calls with keys that were never held, and with such as were withdrawn long ago; none may be let in.
-func (s *site) stranger(stop chan struct{}) {
+// revokedKeyClient makes calls with an unknown key and with keys whose revocationGrace has passed; the test fails if one is accepted.
+func (s *harness) revokedKeyClient(stop chan struct{}) {
 	h := &http.Client{Timeout: 2 * time.Second}
 	defer h.CloseIdleConnections()
 	for try := 0; ; try++ {
@@ -194,26 +197,26 @@
 		}
 		key := "never-held"
 		s.mu.Lock()
-		for k, at := range s.withdrawn {
-			if time.Since(at) > counts && try%2 == 0 {
+		for k, at := range s.revoked {
+			if time.Since(at) > revocationGrace && try%2 == 0 {
 				key = k
 			}
 		}
 		s.mu.Unlock()
-		switch status, body := s.call(h, try%entries, key, http.MethodGet, "00000000000000ff", ""); status {
+		switch status, body := s.request(h, try%entries, key, http.MethodGet, "00000000000000ff", ""); status {
 		case 0, http.StatusUnauthorized, http.StatusServiceUnavailable:
 		default:
-			s.c.Errorf("key %s: %d %s", key, status, body)
+			s.c.Errorf("unknown or revoked key %s was not rejected: status %d, body %s", key, status, body)
 		}
 	}
 }
 
-// prepare writes an entry's settings and opens its proxy.
-func (s *site) prepare(i int) {
+// configureEntry writes an entry's settings file and starts its proxy to the store.
+func (s *harness) configureEntry(i int) {
 	p := &process{ip: fmt.Sprintf("127.1.0.%d", i+1)}
 	p.settings, p.log = filepath.Join(s.dir, fmt.Sprint("settings-", i)), filepath.Join(s.dir, fmt.Sprint("log-", i))
 	var err error
-	p.proxy, err = newProxy(p.ip+":18470", local(platformtest.StoreAddress))
+	p.proxy, err = newProxy(p.ip+":18470", loopback(platformtest.StoreAddress))
 	s.c.Assert(err, quicktest.IsNil)
 	text := fmt.Sprintf(`
 NodeName: "entry-%d"
@@ -227,13 +230,13 @@
 Bounds: {ConfigApplyMs: 3000, MaxSkewMs: 3000, HoldMaxMs: 6000, StopMs: 400, GraceS: 4.0, status_s: 120, NoticeMs: 4500, HarmMs: 4000, MoveS: 1.5, UpkeepS: 2}
 platform: {Address: "%s:18470", parts: 2}
 CloudApi: {Address: %q}
-`, i, p.ip, p.ip, p.ip, platformtest.Keyed, p.ip, local(platformtest.MachinesAddress))
+`, i, p.ip, p.ip, p.ip, platformtest.Keyed, p.ip, loopback(platformtest.MachinesAddress))
 	s.c.Assert(os.WriteFile(p.settings, []byte(text), 0o600), quicktest.IsNil)
 	s.entries[i] = p
 }
 
-// run starts an entry's process.
-func (s *site) run(i int) {
+// startEntry starts the process of an entry.
+func (s *harness) startEntry(i int) {
 	p := s.entries[i]
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	s.c.Assert(err, quicktest.IsNil)
@@ -241,63 +244,63 @@
 	p.cmd.Env = append(os.Environ(), "RACKSTEP_NODE_FILE="+p.settings)
 	p.cmd.Stdout, p.cmd.Stderr = out, out
 	s.c.Assert(p.cmd.Start(), quicktest.IsNil)
-	p.ended = make(chan struct{})
+	p.exited = make(chan struct{})
 	go func() {
-		_ = p.cmd.Wait() // killed processes end with an error
+		_ = p.cmd.Wait() // killed processes return an error
 		_ = out.Close()
-		close(p.ended)
+		close(p.exited)
 	}()
 }
 
-// end ends an entry's process with the signal, and kills it if that takes too long.
-func (s *site) end(i int, signal syscall.Signal) {
+// stopEntry sends the signal to the process of an entry and kills it if it doesn't exit within six seconds.
+func (s *harness) stopEntry(i int, signal syscall.Signal) {
 	p := s.entries[i]
-	_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may be paused, or have ended
+	_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may be paused or have exited
 	_ = p.cmd.Process.Signal(signal)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(6 * time.Second):
 		_ = p.cmd.Process.Kill()
-		<-p.ended
+		<-p.exited
 	}
 }
 
-func (s *site) endAll() {
+func (s *harness) stopAll() {
 	for i, p := range s.entries {
-		s.end(i, syscall.SIGKILL)
+		s.stopEntry(i, syscall.SIGKILL)
 		p.proxy.close()
 	}
 }
 
-// fault does one harm, drawn by the seed.
-func (s *site) fault() {
+// injectFault injects one fault at random, or ends those that last.
+func (s *harness) injectFault() {
 	i := s.random.IntN(entries)
 	p := s.entries[i]
 	switch s.random.IntN(11) {
 	case 0:
-		s.end(i, syscall.SIGKILL)
-		s.run(i)
+		s.stopEntry(i, syscall.SIGKILL)
+		s.startEntry(i)
 	case 1:
-		s.end(i, syscall.SIGTERM)
-		s.run(i)
+		s.stopEntry(i, syscall.SIGTERM)
+		s.startEntry(i)
 	case 2:
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 		pause := time.Duration(300+s.random.IntN(2500)) * time.Millisecond
 		time.AfterFunc(pause, func() { _ = p.cmd.Process.Signal(syscall.SIGCONT) })
 	case 3:
-		p.proxy.set(time.Duration(s.random.IntN(300))*time.Millisecond, false, false)
+		p.proxy.setFaults(time.Duration(s.random.IntN(300))*time.Millisecond, false, false)
 	case 4:
-		p.proxy.set(0, s.random.IntN(2) == 0, s.random.IntN(2) == 0)
+		p.proxy.setFaults(0, s.random.IntN(2) == 0, s.random.IntN(2) == 0)
 	case 5:
 		p.proxy.reset()
 	case 6:
 		calls := platformtest.Calls()
-		call, share := calls[s.random.IntN(len(calls))], s.random.IntN(60)
-		harm := [...]platformtest.Fault{platformtest.Refuse, platformtest.Silent, platformtest.Lost, platformtest.Late}[s.random.IntN(4)]
-		draw := rand.New(rand.NewPCG(s.random.Uint64(), 1))
+		call, percent := calls[s.random.IntN(len(calls))], s.random.IntN(60)
+		fault := [...]platformtest.Fault{platformtest.Refuse, platformtest.Silent, platformtest.Lost, platformtest.Late}[s.random.IntN(4)]
+		random := rand.New(rand.NewPCG(s.random.Uint64(), 1))
 		s.platform.SetFaults(func(_, path string) platformtest.Fault {
-			if path == call && draw.IntN(100) < share {
-				return harm
+			if path == call && random.IntN(100) < percent {
+				return fault
 			}
 			return platformtest.None
 		})
@@ -310,20 +313,21 @@
 	case 9:
 		s.publish()
 	default:
-		s.heal()
+		s.clearFaults()
 	}
 }
 
-func (s *site) heal() {
+// clearFaults ends the faults of the platform and the proxies and resumes paused processes.
+func (s *harness) clearFaults() {
 	s.platform.SetFaults(nil)
 	for _, p := range s.entries {
-		p.proxy.set(0, false, false)
+		p.proxy.setFaults(0, false, false)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
-// client hands in jobs over connections that it keeps, until it is stopped.
-func (s *site) client(number int, stop chan struct{}) {
+// submitJobs submits jobs over persistent connections until stop is closed.
+func (s *harness) submitJobs(number int, stop chan struct{}) {
 	h := &http.Client{Timeout: 4 * time.Second}
 	defer h.CloseIdleConnections()
 	for try := 0; ; try++ {
@@ -333,22 +337,22 @@
 		case <-time.After(40 * time.Millisecond):
 		}
 		s.mu.Lock()
-		s.next++
-		id := fmt.Sprintf("%016x", s.next)
+		s.lastJob++
+		id := fmt.Sprintf("%016x", s.lastJob)
 		s.mu.Unlock()
-		status, _ := s.call(h, (number+try)%entries, keyOf(id), http.MethodPost, id, `{"Spec":"x","Steps":[{"Count":2,"Cpu":300,"MemMb":50,"EstimateMs":400},{"Count":1,"Cpu":300,"MemMb":50,"DependsOn":[0]}]}`)
+		status, _ := s.request(h, (number+try)%entries, keyForJob(id), http.MethodPost, id, `{"Spec":"x","Steps":[{"Count":2,"Cpu":300,"MemMb":50,"EstimateMs":400},{"Count":1,"Cpu":300,"MemMb":50,"DependsOn":[0]}]}`)
 		s.mu.Lock()
 		switch status {
 		case http.StatusOK:
 			s.accepted = append(s.accepted, id)
 		case http.StatusServiceUnavailable:
-			s.refused = append(s.refused, id)
+			s.rejected = append(s.rejected, id)
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (s *site) call(h *http.Client, entry int, key, method, id, body string) (int, string) {
+func (s *harness) request(h *http.Client, entry int, key, method, id, body string) (int, string) {
 	r, err := http.NewRequest(method, "http://"+s.entries[entry].ip+":18451/q/"+id, bytes.NewBufferString(body))
 	if err != nil {
 		return 0, err.Error()
@@ -360,54 +364,54 @@
 		return 0, err.Error()
 	}
 	defer resp.Body.Close()
-	b, _ := io.ReadAll(resp.Body) // a cut answer is compared as it is
+	b, _ := io.ReadAll(resp.Body) // a truncated reply is compared as it is
 	return resp.StatusCode, string(b)
 }
 
-// settle waits for every accepted job, and asks for every refused one.
-func (s *site) settle(seed uint64) {
+// checkOutcomes waits until every accepted job has the expected outcome, and checks that no rejected job is known.
+func (s *harness) checkOutcomes(seed uint64) {
 	h := &http.Client{Timeout: 4 * time.Second}
 	defer h.CloseIdleConnections()
-	end := time.Now().Add(settles)
+	deadline := time.Now().Add(recoveryTime)
 	for n, id := range s.accepted {
 		want := `"succeeded"`
-		if crashes(id) {
+		if crashesWorker(id) {
 			want = `"failed"`
 		}
-		ask := func() (int, string) { return s.call(h, n%entries, keyOf(id), http.MethodGet, id, "") }
+		ask := func() (int, string) { return s.request(h, n%entries, keyForJob(id), http.MethodGet, id, "") }
 		for status, last := ask(); !strings.Contains(last, want); status, last = ask() {
 			if strings.Contains(last, `"failed"`) && s.platform.LivesEndedUnder(id) >= job.LostProved {
-				s.c.Logf("seed %d: job %s was given up, since workers have crashed under it beside a culprit", seed, id)
+				s.c.Logf("seed %d: job %s failed because workers crashed under it that also ran a crashing task", seed, id)
 				break
 			}
-			if time.Now().After(end) {
-				s.c.Fatalf("seed %d: accepted job %s: %d %s instead of %s; logs in %s", seed, id, status, last, want, logsDir())
+			if time.Now().After(deadline) {
+				s.c.Fatalf("seed %d: accepted job %s did not reach %s within %v: status %d, body %s; logs in %s", seed, id, want, recoveryTime, status, last, logsDir())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
-	for n, id := range s.refused {
-		status, last := s.call(h, n%entries, keyOf(id), http.MethodGet, id, "")
-		s.c.Assert(status, quicktest.Equals, http.StatusGone, quicktest.Commentf("seed %d: refused job %s: %s; logs in %s", seed, id, last, logsDir()))
+	for n, id := range s.rejected {
+		status, last := s.request(h, n%entries, keyForJob(id), http.MethodGet, id, "")
+		s.c.Assert(status, quicktest.Equals, http.StatusGone, quicktest.Commentf("seed %d: rejected job %s is known: %s; logs in %s", seed, id, last, logsDir()))
 	}
 	s.c.Assert(s.platform.Check(), quicktest.HasLen, 0, quicktest.Commentf("seed %d; logs in %s", seed, logsDir()))
-	s.c.Logf("seed %d: %d jobs accepted, %d refused, %d runs", seed, len(s.accepted), len(s.refused), len(s.platform.Runs()))
+	s.c.Logf("seed %d: %d jobs accepted, %d rejected, %d runs", seed, len(s.accepted), len(s.rejected), len(s.platform.Runs()))
 }
 
-// logsDir is where the processes' logs stay after a failed test.
+// logsDir returns the directory in which the processes' logs are kept after a failure.
 func logsDir() string { return filepath.Join(os.TempDir(), "rackstep-soak") }
 
-// keepLogs copies the logs there once the test has failed.
-func (s *site) keepLogs() {
+// saveLogs copies the logs to logsDir if the test has failed.
+func (s *harness) saveLogs() {
 	if !s.c.Failed() {
 		return
 	}
-	_ = os.MkdirAll(logsDir(), 0o700) // without the folder the copies fail, and say so
+	_ = os.MkdirAll(logsDir(), 0o700) // if this fails, the copies below fail and are logged
 	for _, p := range s.entries {
 		b, err := os.ReadFile(p.log)
 		if err == nil {
 			err = os.WriteFile(filepath.Join(logsDir(), filepath.Base(p.log)), b, 0o600)
 		}
-		s.c.Logf("log %s kept: %v", p.log, err)
+		s.c.Logf("copy %s to %s: error %v", p.log, logsDir(), err)
 	}
 }
