--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -16,7 +16,7 @@
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
-	// delay holds every piece back; deafUp and deafDown drop what goes to the target or comes from it.
+	// delay is added before each write; dropUp and dropDown drop the data to and from the target.
 	delay            time.Duration
 	dropUp, dropDown bool
 }
--- a/internal/standin/platformtest/calls.go
+++ b/internal/standin/platformtest/calls.go
@@ -16,7 +16,7 @@
 	CallUpkeep = "/machine-upkeep"
 )
 
-// Calls returns all of them.
+// Calls returns the paths of all calls.
 func Calls() []string {
 	return []string{CallAppend, CallRead, CallNewest, CallStart, CallStop, CallHold, CallPace, CallList, CallMove, CallUpkeep}
 }
--- a/internal/standin/platformtest/doc.go
+++ b/internal/standin/platformtest/doc.go
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: MIT
 
 /*
-Package platformtest is a small stand-in of the users' platform, for tests: its
+Package platformtest is a small fake of the users' platform for tests: its
 store, its workers and its machine interface, over any network.
 
-	p := &platformtest.Platform{Network: n}
+	p := &platformtest.Platform{Listen: n.Listen}
 	p.Start(ctx)
-	p.AddWorker("pool-a", 8000, 16000)
+	p.AddWorker("m0", "pool-a", 8000, 16000)
 	p.Publish(config)
 
-It speaks the published protocol and keeps a history of all runs, in which
-Check looks for what must never happen: two runs of a task at a time, or one
-after a success that was acknowledged. Faults are function fields that decide
-about each call: refuse it, carry it out without an answer, or late.
+It speaks the published protocol and keeps a history of all runs. Check searches
+the history for what must never happen: two runs of a task at a time, a run
+after an acknowledged success, or too many starts of a task that crashes its
+workers. SetFaults installs a function that selects the fault of each call:
+refuse it, execute it without a reply, or execute it late.
 */
 package platformtest
--- a/internal/standin/platformtest/organisations.go
+++ b/internal/standin/platformtest/organisations.go
@@ -2,10 +2,10 @@
 
 package platformtest
 
-// Keyed is the part of the rules by which calls need keys, as a settings file names it.
+// TenantsContract is the entry of Contracts in a settings file that makes calls require API keys.
 const Keyed = "tenants"
 
-// Organisation is one that a configuration names, with its keys in the clear and its cap by the platform's names.
+// Organisation is an organisation of a configuration, with its keys in plain text. Cap is keyed by the platform's resource names.
 type Organisation struct {
 	Name   string
 	Keys   []string `json:"ApiKeys"`
@@ -13,7 +13,7 @@
 	Cap    map[string]int `json:",omitempty"`
 }
 
-// PublishOrganisations writes a version of the configuration with the organisations that it names, besides the fields given.
+// PublishOrganisations publishes a version of the configuration with the organisations and the given further fields.
 func (p *Platform) PublishOrganisations(version int, fields map[string]any, organisations ...Organisation) {
 	config := map[string]any{"Version": version, "Tenants": organisations}
 	for name, value := range fields {
--- a/internal/standin/platformtest/platform.go
+++ b/internal/standin/platformtest/platform.go
@@ -14,81 +14,81 @@
 	"time"
 )
 
-// Addresses of the stand-in, unless it is moved by Platform.At.
+// Addresses of the platform, unless Platform.MapAddress replaces them.
 const (
 	StoreAddress    = "10.200.0.1:80"
 	MachinesAddress = "10.200.0.2:80"
 )
 
-// Times of the stand-in.
+// Delays and intervals of the platform.
 const (
-	heartbeat   = 1500 * time.Millisecond
-	upkeepTakes = 2 * time.Second
-	lateBy      = 3 * time.Second
-	// silence is how long a call without an answer keeps its connection; every caller has given up by then.
-	silence = 5 * time.Second
+	heartbeatInterval = 1500 * time.Millisecond
+	maintenanceTime   = 2 * time.Second
+	lateDelay         = 3 * time.Second
+	// noReplyTimeout is how long the connection of a call without a reply stays open. Every caller has timed out by then.
+	noReplyTimeout = 5 * time.Second
 )
 
-// Fault is what becomes of a call.
+// Fault selects how a call goes wrong.
 type Fault int
 
 // Faults of a call.
 const (
-	// None carries the call out and answers.
+	// None executes the call and replies.
 	None Fault = iota
-	// Refuse answers 503 and does nothing.
+	// Refuse replies with status 503 and doesn't execute the call.
 	Refuse
-	// Silent does nothing and does not answer.
+	// Ignore neither executes the call nor replies.
 	Silent
-	// Lost carries the call out and does not answer.
+	// DropReply executes the call and doesn't reply.
 	Lost
-	// Late does not answer, and carries the call out some seconds later.
+	// Delay doesn't reply, and executes the call after lateDelay.
 	Late
 )
 
-// Platform is the whole stand-in; the exported fields are set before Start.
+// Platform is the fake platform. The exported fields must be set before Start.
 type Platform struct {
-	// Listen opens an address of the network.
+	// Listen listens on an address of the network.
 	Listen func(address string) (net.Listener, error)
-	// At returns the address to use in place of one of the stand-in's own; the same one when nil.
+	// MapAddress returns the address to use in place of one of the platform's; addresses stay as they are when nil.
 	At func(address string) string
-	// Lease is the longest lease; 10 s when 0.
+	// Lease is the maximum duration of a worker's lease; 10 s when 0.
 	Lease time.Duration
-	// Off names the pool whose instances are off; they have no workers.
+	// OffPool is the pool whose instances are switched off and have no workers.
 	Off string
-	// Takes returns how long a task runs, 0 for ever; a second when nil.
+	// TaskDuration returns how long a task runs, 0 for one that doesn't end by itself; one second when nil.
 	Takes func(task string) time.Duration
-	// Fails says whether a run that has taken its time has failed; none does when nil.
+	// RunFails reports whether a run that has ended by itself has failed; none has when nil.
 	Fails func(task, life string) bool
-	// Crashes returns how long after its start a task crashes its worker, 0 for a task that does not; none does when nil. The instance is back
-	// a second later.
+	// CrashDelay returns the time from the start of a task until it crashes its worker, 0 for a task that doesn't; none does when nil. The instance
+	// restarts after crashRecoveryDelay and maintenanceTime.
 	Crashes func(task string) time.Duration
-	// Reborn says that workers tell their births, and that one which has crashed comes back under its ID, at its address; each birth is before
-	// the one of the life before, as after a step of the clock.
+	// ReuseIDs makes workers report incarnations, and makes a crashed worker restart with its ID and address. Each incarnation number is lower
+	// than the one before, as if the clock had been set back.
 	Reborn bool
 
-	// ZoneOf returns the data centre of an instance; all are in one when nil.
+	// ZoneOf returns the data centre of an instance; all are in the same one when nil.
 	ZoneOf func(machine string) string
 
 	Store Store
 
-	mu      sync.Mutex
-	faults  func(address, path string) Fault
-	history []*Run
-	workers map[string]*Worker
-	done    map[string]bool // instances maintained, by wave
-	down    map[string]bool
-	fences  map[string]int64
-	lives   int
-	servers []*http.Server
-	ctx     context.Context
-	work    sync.WaitGroup
+	mu          sync.Mutex
+	faults      func(address, path string) Fault
+	history     []*Run
+	workers     map[string]*Worker
+	maintained  map[string]bool // instances that were maintained, as MACHINE/WAVE
+	down        map[string]bool
+	fences      map[string]int64
+	workerCount int
+	servers     []*http.Server
+	ctx         context.Context
+	background  sync.WaitGroup
 }
 
-// Start serves until the context ends.
+// Start starts the servers and the heartbeats of the workers, which end with the context.
 func (p *Platform) Start(ctx context.Context) error {
 	p.ctx = ctx
-	p.workers, p.done, p.down, p.fences = make(map[string]*Worker), make(map[string]bool), make(map[string]bool), make(map[string]int64)
+	p.workers, p.maintained, p.down, p.fences = make(map[string]*Worker), make(map[string]bool), make(map[string]bool), make(map[string]int64)
 	if p.Takes == nil {
 		p.Takes = func(string) time.Duration { return time.Second }
 	}
@@ -98,29 +98,29 @@
 	if _, err := p.serve(p.At(StoreAddress), &p.Store); err != nil {
 		return err
 	}
-	if _, err := p.serve(p.At(MachinesAddress), http.HandlerFunc(p.machines)); err != nil {
+	if _, err := p.serve(p.At(MachinesAddress), http.HandlerFunc(p.serveMachines)); err != nil {
 		return err
 	}
-	p.work.Go(p.beat)
+	p.background.Go(p.runHeartbeats)
 	return nil
 }
 
-// Stop closes every server and waits for what goes on.
+// Stop closes every server, kills every worker and waits for background work.
 func (p *Platform) Stop() {
 	p.mu.Lock()
 	servers := slices.Clone(p.servers)
-	workers := p.all()
+	workers := p.sortedWorkers()
 	p.mu.Unlock()
 	for _, s := range servers {
 		_ = s.Close()
 	}
 	for _, w := range workers {
-		w.die()
+		w.kill()
 	}
-	p.work.Wait()
+	p.background.Wait()
 }
 
-// SetFaults decides about each call from now on; nil lets all pass.
+// SetFaults sets the function that selects the fault of each call; nil ends all faults.
 func (p *Platform) SetFaults(f func(address, path string) Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	return p.Lease.Milliseconds()
 }
 
-func (p *Platform) note(x *Run) {
+func (p *Platform) recordRun(x *Run) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.history = append(p.history, x)
@@ -143,18 +143,18 @@
 func (p *Platform) serve(address string, h http.Handler) (*http.Server, error) {
 	ln, err := p.Listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("platformtest: listen on %s: %w", address, err)
 	}
-	s := &http.Server{Handler: p.faulty(address, h)}
+	s := &http.Server{Handler: p.withFaults(address, h)}
 	p.mu.Lock()
 	p.servers = append(p.servers, s)
 	p.mu.Unlock()
-	go func() { _ = s.Serve(ln) }() // it ends with Stop
+	go func() { _ = s.Serve(ln) }() // returns after Stop
 	return s, nil
 }
 
-// faulty lets the faults decide before the handler.
-func (p *Platform) faulty(address string, h http.Handler) http.Handler {
+// withFaults wraps the handler with the injected faults.
+func (p *Platform) withFaults(address string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		f := None
@@ -170,7 +170,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case Lost:
-			unheard(h, r)
+			serveDiscarding(h, r)
 		case Late:
 			late := r.Clone(context.WithoutCancel(r.Context()))
 			body := new(strings.Builder)
@@ -178,22 +178,22 @@
 			for n, err := r.Body.Read(buf); n > 0 || err == nil; n, err = r.Body.Read(buf) {
 				body.Write(buf[:n])
 			}
-			p.work.Go(func() {
-				time.Sleep(lateBy)
+			p.background.Go(func() {
+				time.Sleep(lateDelay)
 				late.Body = readCloser{strings.NewReader(body.String())}
-				unheard(p.whoAnswers(address, h), late)
+				serveDiscarding(p.currentHandler(address, h), late)
 			})
 		}
-		select { // no answer
+		select { // no reply
 		case <-r.Context().Done():
-		case <-time.After(silence):
+		case <-time.After(noReplyTimeout):
 		}
 		panic(http.ErrAbortHandler)
 	})
 }
 
-// whoAnswers returns the worker that has an address now, or else the handler.
-func (p *Platform) whoAnswers(address string, h http.Handler) http.Handler {
+// currentHandler returns the worker that uses the address now, or h when there is none.
+func (p *Platform) currentHandler(address string, h http.Handler) http.Handler {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.workers {
@@ -204,8 +204,8 @@
 	return h
 }
 
-// unheard has the handler do what it is asked and throws its answer away, also one that it breaks off.
-func unheard(h http.Handler, r *http.Request) {
+// serveDiscarding executes the call and discards the reply, including one that the handler aborts.
+func serveDiscarding(h http.Handler, r *http.Request) {
 	defer func() {
 		if x := recover(); x != nil && x != http.ErrAbortHandler {
 			panic(x)
@@ -216,34 +216,34 @@
 
 type readCloser struct{ *strings.Reader }
 
-// Close does nothing.
+// Close implements io.Closer.
 func (readCloser) Close() error { return nil }
 
-// discard takes an answer that nobody gets.
+// discard is an http.ResponseWriter that discards the reply.
 type discard struct{}
 
-// Header returns a header that is thrown away.
+// Header implements http.ResponseWriter.
 func (discard) Header() http.Header { return http.Header{} }
 
-// Write throws the bytes away.
+// Write implements http.ResponseWriter.
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// WriteHeader does nothing.
+// WriteHeader implements http.ResponseWriter.
 func (discard) WriteHeader(int) {}
 
-// Publish writes a configuration.
+// Publish publishes a configuration.
 func (p *Platform) Publish(config any) {
-	b, _ := json.Marshal(config) // tests publish what can be encoded
+	b, _ := json.Marshal(config) // tests publish only values that can be encoded
 	p.Store.Put("keyed.op", "config", b)
 }
 
-// RequestWave asks for the upkeep of instances.
+// RequestWave requests maintenance of the instances, of at most that many at a time.
 func (p *Platform) RequestWave(number int, machines []string, most int) {
 	b, _ := json.Marshal(map[string]any{"Wave": number, "Machines": machines, "DurationS": 60, "Cap": most})
 	p.Store.Put("keyed.op", fmt.Sprintf("wave/%d", number), b)
 }
 
-// Drain drains a data centre, or takes that back.
+// Drain starts or ends the drain of a data centre.
 func (p *Platform) Drain(zone string, on bool) {
 	var value []byte
 	if on {
@@ -260,21 +260,21 @@
 	return p.ZoneOf(machine)
 }
 
-// AddWorker starts a worker on an instance of its own.
+// AddWorker starts a worker on its own instance.
 func (p *Platform) AddWorker(machine, pool string, milliCPU, memoryMB int) *Worker {
 	return p.addWorker(nil, machine, pool, milliCPU, memoryMB)
 }
 
-// addWorker starts a worker, under the ID and at the address of the one before unless that is nil.
+// addWorker starts a worker. It uses the ID and the address of the previous one unless that is nil.
 func (p *Platform) addWorker(before *Worker, machine, pool string, milliCPU, memoryMB int) *Worker {
 	p.mu.Lock()
-	p.lives++
+	p.workerCount++
 	w := &Worker{
-		Life: fmt.Sprintf("i-%04d", p.lives), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.lives/250, p.lives%250+1)),
-		MilliCPU: milliCPU, MemoryMB: memoryMB, platform: p, began: time.Now(), ended: make(chan struct{}), stopped: make(map[string]int64),
+		Life: fmt.Sprintf("i-%04d", p.workerCount), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.workerCount/250, p.workerCount%250+1)),
+		MilliCPU: milliCPU, MemoryMB: memoryMB, platform: p, startedAt: time.Now(), ended: make(chan struct{}), stopped: make(map[string]int64),
 	}
 	if p.Reborn {
-		w.Birth = time.Now().UnixMilli() - int64(p.lives)*time.Hour.Milliseconds()
+		w.Birth = time.Now().UnixMilli() - int64(p.workerCount)*time.Hour.Milliseconds()
 	}
 	if before != nil {
 		w.Life, w.Address = before.Life, before.Address
@@ -290,30 +290,30 @@
 	}
 	s, err := p.serve(w.Address, w)
 	if err != nil {
-		panic(err) // the addresses are the stand-in's own
+		panic(err) // every worker has its own address
 	}
 	p.mu.Lock()
 	w.server = s
 	p.mu.Unlock()
-	p.tell(w)
+	p.publishWorker(w)
 	return w
 }
 
-// Crash ends a worker's life; its entry stays in the list.
+// Crash crashes the worker of an instance. Its record stays in the store.
 func (p *Platform) Crash(machine string) {
 	p.mu.Lock()
 	w := p.workers[machine]
 	p.down[machine] = true
 	s := w.server
 	p.mu.Unlock()
-	w.die()
+	w.kill()
 	if p.Reborn && s != nil {
-		_ = s.Close() // its connections break, and nobody answers there until it is back
+		_ = s.Close() // connections break and are refused until the restart
 	}
 }
 
-// LivesEndedUnder returns how many workers have crashed under one task of a job, by their own history. From two on the users allow that the job is
-// given up: who is beside what crashes workers again and again can't be told from that.
+// MaxWorkersLost returns the maximum, over the tasks of a job, of the number of workers that crashed while they ran the task, by the workers' own
+// history. From two on, the users' rules let the job fail, because a task that runs beside a crashing one can't be told from it.
 func (p *Platform) LivesEndedUnder(job string) int {
 	most, lost := 0, make(map[string]int)
 	for _, x := range p.Runs() {
@@ -325,22 +325,23 @@
 	return most
 }
 
-// crashedBy crashes a worker because of a run there, if that goes on; the instance is back soon.
-func (p *Platform) crashedBy(x *Run, w *Worker) {
+// crashWorker crashes a worker because of a run, if that is still running, and restarts the instance after crashRecoveryDelay.
+func (p *Platform) crashWorker(x *Run, w *Worker) {
 	w.mu.Lock()
-	goesOn := !w.dead && x.To.IsZero()
+	running := !w.dead && x.To.IsZero()
 	w.mu.Unlock()
-	if !goesOn {
+	if !running {
 		return
 	}
 	p.mu.Lock()
 	x.Crashed = true
 	p.mu.Unlock()
 	p.Crash(w.Machine)
-	time.AfterFunc(backAfter, func() { p.Revive(w.Machine) })
+	time.AfterFunc(crashRecoveryDelay, func() { p.Revive(w.Machine) })
 }
 
-func (p *Platform) tell(w *Worker) {
+// publishWorker writes the worker's record to the store.
+func (p *Platform) publishWorker(w *Worker) {
 	w.seq++
 	state := "ready"
 	if w.draining {
@@ -350,12 +351,13 @@
 		"Service": w.Pool, "Address": w.Address, "Zone": p.Zone(w.Machine), "State": state, "Machine": w.Machine, "Seq": w.seq,
 		"Capacity": map[string]int{"Cpu": w.MilliCPU, "MemMb": w.MemoryMB}, "Labels": []string{"a", "r1-1"},
 	}
-	w.tellBirth(entry)
+	w.addIncarnation(entry)
 	b, _ := json.Marshal(entry)
 	p.Store.Put("keyed.servers", w.Life, b)
 }
 
-func (p *Platform) all() []*Worker {
+// sortedWorkers returns the workers ordered by ID; the caller holds mu.
+func (p *Platform) sortedWorkers() []*Worker {
 	var out []*Worker
 	for _, w := range p.workers {
 		out = append(out, w)
@@ -364,49 +366,50 @@
 	return out
 }
 
-func (p *Platform) beat() {
+// runHeartbeats publishes every live worker once each heartbeatInterval.
+func (p *Platform) runHeartbeats() {
 	for {
 		select {
 		case <-p.ctx.Done():
 			return
-		case <-time.After(heartbeat):
+		case <-time.After(heartbeatInterval):
 		}
 		p.mu.Lock()
-		workers := p.all()
+		workers := p.sortedWorkers()
 		p.mu.Unlock()
 		for _, w := range workers {
 			w.mu.Lock()
 			if !w.dead {
-				p.tell(w)
+				p.publishWorker(w)
 			}
 			w.mu.Unlock()
 		}
 	}
 }
 
-// machines answers the machine interface.
-func (p *Platform) machines(w http.ResponseWriter, r *http.Request) {
+// serveMachines serves the machine interface.
+func (p *Platform) serveMachines(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/machines" {
-		p.list(w)
+		p.listMachines(w)
 		return
 	}
-	var o struct {
+	var req struct {
 		Machine, Pool string
 		Wave          int
 	}
-	if json.NewDecoder(r.Body).Decode(&o) != nil {
+	if json.NewDecoder(r.Body).Decode(&req) != nil {
 		reply(w, http.StatusBadRequest, nil)
 		return
 	}
 	p.mu.Lock()
-	x := p.workers[o.Machine]
-	key := fmt.Sprintf("%s/%d", o.Machine, o.Wave)
-	done, down := p.done[key], p.down[o.Machine]
-	if o.Pool != "" {
-		done = x != nil && x.Pool == o.Pool
+	x := p.workers[req.Machine]
+	key := fmt.Sprintf("%s/%d", req.Machine, req.Wave)
+	done, down := p.maintained[key], p.down[req.Machine]
+	if req.Pool != "" {
+		done = x != nil && x.Pool == req.Pool
 	}
 	if x != nil && !done && !down {
-		p.done[key], p.down[o.Machine] = o.Pool == "", true
+		p.maintained[key], p.down[req.Machine] = req.Pool == "", true
 	}
 	p.mu.Unlock()
 	switch {
@@ -417,16 +420,16 @@
 	case down:
 		reply(w, http.StatusConflict, map[string]string{"Reason": "busy"})
 	default:
-		x.die()
-		p.work.Go(func() { p.revive(x, o.Pool, false) })
+		x.kill()
+		p.background.Go(func() { p.replaceWorker(x, req.Pool, false) })
 		reply(w, http.StatusOK, nil)
 	}
 }
 
-func (p *Platform) list(w http.ResponseWriter) {
+func (p *Platform) listMachines(w http.ResponseWriter) {
 	p.mu.Lock()
 	rows := []map[string]any{}
-	for _, x := range p.all() {
+	for _, x := range p.sortedWorkers() {
 		state := "up"
 		if p.down[x.Machine] {
 			state = "upkeep"
@@ -437,12 +440,12 @@
 	reply(w, http.StatusOK, map[string]any{"Machines": rows, "NextToken": nil})
 }
 
-// revive brings an instance back as another life.
-func (p *Platform) revive(x *Worker, pool string, crashed bool) {
+// replaceWorker restarts the worker of an instance after maintenanceTime, in another pool if one is given.
+func (p *Platform) replaceWorker(x *Worker, pool string, crashed bool) {
 	select {
 	case <-p.ctx.Done():
 		return
-	case <-time.After(upkeepTakes):
+	case <-time.After(maintenanceTime):
 	}
 	p.mu.Lock()
 	current := p.workers[x.Machine] == x
@@ -464,7 +467,7 @@
 	p.mu.Unlock()
 }
 
-// MachineOf returns the instance of a life, empty when it has another life now.
+// MachineOf returns the instance of the worker with the ID, empty when there is none at present.
 func (p *Platform) MachineOf(life string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -476,12 +479,12 @@
 	return ""
 }
 
-// Revive brings a crashed instance back.
+// Restart restarts a crashed instance after maintenanceTime.
 func (p *Platform) Revive(machine string) {
 	p.mu.Lock()
 	x := p.workers[machine]
 	p.mu.Unlock()
-	p.work.Go(func() { p.revive(x, "", true) })
+	p.background.Go(func() { p.replaceWorker(x, "", true) })
 }
 
 // Runs returns a copy of the history.
@@ -495,45 +498,45 @@
 	return out
 }
 
-// Bounds of the starts of a task that crashes its workers: no more than so many after so many crashes.
+// Limits of the starts of a task that crashes its workers: after crashThreshold crashes it may start maxStartsAfterCrashes more times.
 const (
-	crashesAllowed     = 3
-	startsAfterCrashes = 2
-	// backAfter is how long an instance is away after a crash.
-	backAfter = time.Second
+	crashThreshold        = 3
+	maxStartsAfterCrashes = 2
+	// crashRecoveryDelay is the time from a crash that a task caused until the restart begins.
+	crashRecoveryDelay = time.Second
 )
 
-// Check returns what in the history must never happen.
+// Check describes everything in the history that must never happen; the result is empty when there is nothing.
 func (p *Platform) Check() []string {
-	var wrong []string
+	var violations []string
 	byTask := make(map[string][]Run)
 	for _, x := range p.Runs() {
 		byTask[x.Task] = append(byTask[x.Task], x)
 	}
 	for task, runs := range byTask {
-		crashed, more := 0, 0
+		crashes, extraStarts := 0, 0
 		for _, x := range runs {
-			if crashed >= crashesAllowed {
-				more++
+			if crashes >= crashThreshold {
+				extraStarts++
 			}
 			if x.Crashed {
-				crashed++
+				crashes++
 			}
 		}
-		if more > startsAfterCrashes {
-			wrong = append(wrong, fmt.Sprintf("%s: %d starts after %d workers had crashed under it", task, more, crashesAllowed))
+		if extraStarts > maxStartsAfterCrashes {
+			violations = append(violations, fmt.Sprintf("%s: %d starts after %d workers had crashed under it", task, extraStarts, crashThreshold))
 		}
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if b.From.Before(a.To) || a.To.IsZero() {
-					wrong = append(wrong, fmt.Sprintf("%s: run %d on %s began while run %d on %s went on", task, b.Number, b.Life, a.Number, a.Life))
+					violations = append(violations, fmt.Sprintf("%s: run %d on %s started while run %d on %s was running", task, b.Number, b.Life, a.Number, a.Life))
 				}
 				if a.How == "done" && a.Acked && b.From.After(a.AckedAt) {
-					wrong = append(wrong, fmt.Sprintf("%s: run %d began after run %d was done and acknowledged", task, b.Number, a.Number))
+					violations = append(violations, fmt.Sprintf("%s: run %d started after run %d was done and acknowledged", task, b.Number, a.Number))
 				}
 			}
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(violations)
+	return violations
 }
--- a/internal/standin/platformtest/store.go
+++ b/internal/standin/platformtest/store.go
@@ -20,20 +20,20 @@
 	value []byte
 }
 
-// topic is one partition.
+// topic is one partition of a topic.
 type topic struct {
-	records []record
-	epochs  map[string]int64
-	next    map[string]int64
-	answers map[string][]int64
-	grown   chan struct{}
+	records  []record
+	epochs   map[string]int64
+	next     map[string]int64
+	ends     map[string][]int64
+	appended chan struct{}
 }
 
-// Store is the stand-in's log service.
+// Store is the platform's log service, in memory.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*topic
-	// First is the first offset that reads may ask for, for all topics: what is before it is gone.
+	// first is the lowest offset that can be read, of all topics; records before it are dropped.
 	first int64
 }
 
@@ -43,13 +43,13 @@
 	}
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{epochs: make(map[string]int64), next: make(map[string]int64), answers: make(map[string][]int64), grown: make(chan struct{})}
+		t = &topic{epochs: make(map[string]int64), next: make(map[string]int64), ends: make(map[string][]int64), appended: make(chan struct{})}
 		s.topics[name] = t
 	}
 	return t
 }
 
-// Put appends a record as the platform's own services do.
+// Put appends a record to partition 0 of a topic, as the platform's own services do.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,11 +58,11 @@
 
 func (t *topic) add(r ...record) {
 	t.records = append(t.records, r...)
-	close(t.grown)
-	t.grown = make(chan struct{})
+	close(t.appended)
+	t.appended = make(chan struct{})
 }
 
-// Newest returns the newest value of a key, nil when there is none.
+// Newest returns the latest value of a key, nil when there is none.
 func (s *Store) Newest(name, key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Each calls the function with every record of every partition, oldest first.
+// ForEach calls the function with every record of every partition. Records of a partition are in order of their offsets.
 func (s *Store) Each(f func(topic, key string, value []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// Forget drops the history of all topics; the newest record of each key stays.
+// DropHistory makes older offsets of all topics unreadable; the latest record of each key stays available.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the calls of the store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	name := q.Get("Topic") + "/" + q.Get("part")
@@ -112,7 +112,7 @@
 }
 
 func reply(w http.ResponseWriter, status int, body any) {
-	b, _ := json.Marshal(body) // bodies of this package can be encoded
+	b, _ := json.Marshal(body) // every body of this package can be encoded
 	w.WriteHeader(status)
 	_, _ = w.Write(b)
 }
@@ -135,29 +135,30 @@
 			reply(w, http.StatusConflict, map[string]any{"Reason": "fenced"})
 			return
 		case epoch == t.epochs[producer] && sequence < t.next[producer]:
-			reply(w, http.StatusOK, map[string]any{"End": t.answers[producer][sequence]})
+			reply(w, http.StatusOK, map[string]any{"End": t.ends[producer][sequence]})
 			return
 		case epoch == t.epochs[producer] && sequence > t.next[producer]:
 			reply(w, http.StatusConflict, map[string]any{"Reason": "seq", "Seq": t.next[producer]})
 			return
 		}
 	}
-	if at := q.Get("CurrentRev"); at != "" && at != strconv.Itoa(len(t.records)) {
+	if revision := q.Get("CurrentRev"); revision != "" && revision != strconv.Itoa(len(t.records)) {
 		reply(w, http.StatusPreconditionFailed, map[string]any{"End": len(t.records)})
 		return
 	}
-	t.add(split(body)...)
+	t.add(decodeRecords(body)...)
 	if producer != "" {
 		if epoch > t.epochs[producer] {
-			t.answers[producer] = make([]int64, sequence)
+			t.ends[producer] = make([]int64, sequence)
 		}
 		t.epochs[producer], t.next[producer] = epoch, sequence+1
-		t.answers[producer] = append(t.answers[producer], int64(len(t.records)))
+		t.ends[producer] = append(t.ends[producer], int64(len(t.records)))
 	}
 	reply(w, http.StatusOK, map[string]any{"Offset": len(t.records), "End": len(t.records)})
 }
 
-func split(b []byte) []record {
+// decodeRecords decodes the records of an append.
+func decodeRecords(b []byte) []record {
 	var out []record
 	for len(b) >= 4 {
 		n := int(binary.BigEndian.Uint32(b))
@@ -177,10 +178,10 @@
 	for {
 		s.mu.Lock()
 		t := s.topic(name)
-		first, end, grown := min(s.first, int64(len(t.records))), int64(len(t.records)), t.grown
+		first, end, grown := min(s.first, int64(len(t.records))), int64(len(t.records)), t.appended
 		var b []byte
 		if from >= first && from < end {
-			b = join(t.records[from:])
+			b = encodeRecords(t.records[from:])
 		}
 		s.mu.Unlock()
 		if from < first {
@@ -203,7 +204,8 @@
 	}
 }
 
-func join(records []record) []byte {
+// encodeRecords encodes the records of a read, each as its length, the key's length, the key and the value.
+func encodeRecords(records []record) []byte {
 	var b []byte
 	for _, r := range records {
 		b = binary.BigEndian.AppendUint32(b, uint32(1+len(r.key)+len(r.value)))
@@ -214,8 +216,8 @@
 	return b
 }
 
-// newestPage is how many keys one page of the newest records names; it is small, so that tests see several.
-const newestPage = 20
+// newestPageSize is the number of keys in a page of the latest records. It is small so that tests cover several pages.
+const newestPageSize = 20
 
 func (s *Store) newest(w http.ResponseWriter, r *http.Request, name string) {
 	s.mu.Lock()
@@ -232,9 +234,9 @@
 		}
 	}
 	slices.Sort(keys)
-	more := len(keys) > newestPage
+	more := len(keys) > newestPageSize
 	if more {
-		keys = keys[:newestPage]
+		keys = keys[:newestPageSize]
 	}
 	items := []map[string]any{}
 	for _, k := range keys {
--- a/internal/standin/platformtest/worker.go
+++ b/internal/standin/platformtest/worker.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Run is one run of a task in the history.
+// Run is a run of a task in the history.
 type Run struct {
 	Task   string
 	Number int64
@@ -18,50 +18,50 @@
 	// Zone is the data centre of its instance.
 	Zone string
 	From time.Time
-	// To is zero while it runs; How is the worker's word for its end.
+	// End is zero while it runs; Outcome is the outcome that the worker reports.
 	To  time.Time
 	How string
-	// Acked says that the end was acknowledged, at AckedAt.
+	// Acked is set once the end was acknowledged, at AckedAt.
 	Acked   bool
 	AckedAt time.Time
-	// Crashed says that the run has crashed its worker.
+	// Crashed is set when the run has crashed its worker.
 	Crashed bool
 
-	n      int64
-	saved  string
-	ending *time.Timer
-	pace   int
+	endNumber  int64
+	checkpoint string
+	timer      *time.Timer
+	pace       int
 }
 
-// Worker is one life of the stand-in's workers.
+// Worker is a worker from its start to its end. A restart makes a new Worker.
 type Worker struct {
 	Life, Machine, Pool, Address string
 	MilliCPU, MemoryMB           int
-	// Birth tells its lives apart that bear one ID, 0 where the stand-in tells none.
+	// Incarnation distinguishes workers with the same ID; 0 when none is reported.
 	Birth    int64
 	platform *Platform
 	server   *http.Server
 
-	mu       sync.Mutex
-	dead     bool
-	draining bool
-	began    time.Time
-	fence    int64
-	deadline int64
-	acked    int64
-	lastEnd  int64
-	runs     []*Run
-	ended    chan struct{}
-	lapse    *time.Timer
-	stopped  map[string]int64
-	seq      int64
+	mu         sync.Mutex
+	dead       bool
+	draining   bool
+	startedAt  time.Time
+	fence      int64
+	deadline   int64
+	acked      int64
+	lastEnd    int64
+	runs       []*Run
+	ended      chan struct{}
+	leaseTimer *time.Timer
+	stopped    map[string]int64
+	seq        int64
 }
 
-func (w *Worker) clock() int64 { return time.Since(w.began).Milliseconds() + 1 }
+func (w *Worker) clockMillis() int64 { return time.Since(w.startedAt).Milliseconds() + 1 }
 
-// ServeHTTP answers one order.
+// ServeHTTP serves the calls to a worker.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	var o struct {
+	var req struct {
 		Task       string
 		Run        int64
 		Spec       string
@@ -72,48 +72,48 @@
 		WaitMs     int64
 		Percent    int
 	}
-	if json.NewDecoder(r.Body).Decode(&o) != nil {
+	if json.NewDecoder(r.Body).Decode(&req) != nil {
 		reply(rw, http.StatusBadRequest, nil)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	refuse := func(reason string) {
-		reply(rw, http.StatusConflict, map[string]any{"ClockMs": w.clock(), "Reason": reason})
+		reply(rw, http.StatusConflict, map[string]any{"ClockMs": w.clockMillis(), "Reason": reason})
 	}
 	switch {
 	case w.dead && w.platform.Reborn:
-		panic(http.ErrAbortHandler) // its connections break
+		panic(http.ErrAbortHandler) // closes the connection
 	case w.dead || r.Header.Get("X-Expect-Instance") != w.Life:
 		reply(rw, http.StatusMisdirectedRequest, nil)
 		return
-	case o.Fence < w.fence:
+	case req.Fence < w.fence:
 		refuse("fence")
 		return
 	}
-	w.fence = o.Fence
+	w.fence = req.Fence
 	switch r.URL.Path {
 	case "/run-start":
-		w.start(rw, refuse, o.Task, o.Run, o.DeadlineMs, o.Saved)
+		w.start(rw, refuse, req.Task, req.Run, req.DeadlineMs, req.Saved)
 	case "/run-stop":
-		w.stopped[o.Task] = max(w.stopped[o.Task], o.Run)
-		if x := w.running(o.Task, o.Run); x != nil {
-			w.end(x, "stopped")
+		w.stopped[req.Task] = max(w.stopped[req.Task], req.Run)
+		if x := w.findRunning(req.Task, req.Run); x != nil {
+			w.endRun(x, "stopped")
 		}
-		reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clock()})
+		reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clockMillis()})
 	case "/pace":
-		if x := w.running(o.Task, o.Run); x != nil {
-			x.pace = o.Percent
+		if x := w.findRunning(req.Task, req.Run); x != nil {
+			x.pace = req.Percent
 		}
-		reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clock()})
+		reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clockMillis()})
 	case "/hold":
-		w.hold(rw, r, o.DeadlineMs, o.AckedUpto, o.WaitMs)
+		w.hold(rw, r, req.DeadlineMs, req.AckedUpto, req.WaitMs)
 	default:
 		http.NotFound(rw, r)
 	}
 }
 
-func (w *Worker) running(task string, number int64) *Run {
+func (w *Worker) findRunning(task string, number int64) *Run {
 	for _, x := range w.runs {
 		if x.Task == task && x.Number == number && x.To.IsZero() {
 			return x
@@ -123,13 +123,13 @@
 }
 
 func (w *Worker) start(rw http.ResponseWriter, refuse func(string), task string, number, deadline int64, saved string) {
-	if deadline > 0 && deadline < w.clock() {
+	if deadline > 0 && deadline < w.clockMillis() {
 		refuse("late")
 		return
 	}
-	w.extend(deadline)
-	if w.running(task, number) != nil {
-		reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clock()})
+	w.extendLease(deadline)
+	if w.findRunning(task, number) != nil {
+		reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clockMillis()})
 		return
 	}
 	for _, x := range w.runs {
@@ -142,64 +142,64 @@
 		refuse("old")
 		return
 	}
-	x := &Run{Task: task, Number: number, Life: w.Life, Zone: w.platform.Zone(w.Machine), From: time.Now(), saved: saved, pace: 100}
+	x := &Run{Task: task, Number: number, Life: w.Life, Zone: w.platform.Zone(w.Machine), From: time.Now(), checkpoint: saved, pace: 100}
 	w.runs = append(w.runs, x)
-	w.platform.note(x)
+	w.platform.recordRun(x)
 	if w.platform.Crashes != nil && w.platform.Crashes(task) > 0 {
-		x.ending = time.AfterFunc(w.platform.Crashes(task), func() { w.platform.crashedBy(x, w) })
+		x.timer = time.AfterFunc(w.platform.Crashes(task), func() { w.platform.crashWorker(x, w) })
 	} else if d := w.platform.Takes(task); d > 0 {
-		x.ending = time.AfterFunc(d, func() {
+		x.timer = time.AfterFunc(d, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			how := "done"
+			outcome := "done"
 			if w.platform.Fails != nil && w.platform.Fails(task, w.Life) {
-				how = "failed"
+				outcome = "failed"
 			}
-			w.end(x, how)
+			w.endRun(x, outcome)
 		})
 	}
-	reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clock()})
+	reply(rw, http.StatusOK, map[string]any{"ClockMs": w.clockMillis()})
 }
 
-// end ends a run and wakes the holds; the worker's lock is held.
-func (w *Worker) end(x *Run, how string) {
+// endRun ends a run and wakes the waiting hold calls; the caller holds w.mu.
+func (w *Worker) endRun(x *Run, outcome string) {
 	if !x.To.IsZero() {
 		return
 	}
-	if x.ending != nil {
-		x.ending.Stop()
+	if x.timer != nil {
+		x.timer.Stop()
 	}
 	w.lastEnd++
 	w.platform.mu.Lock()
-	x.To, x.How = time.Now(), how
+	x.To, x.How = time.Now(), outcome
 	w.platform.mu.Unlock()
-	x.n = w.lastEnd
+	x.endNumber = w.lastEnd
 	close(w.ended)
 	w.ended = make(chan struct{})
 }
 
-// extend moves the lease's end; the worker's lock is held.
-func (w *Worker) extend(deadline int64) {
+// extendLease moves the end of the lease; the caller holds w.mu.
+func (w *Worker) extendLease(deadline int64) {
 	if deadline <= w.deadline {
 		return
 	}
-	w.deadline = min(deadline, w.clock()+w.platform.leaseMillis())
-	if w.lapse != nil {
-		w.lapse.Stop()
+	w.deadline = min(deadline, w.clockMillis()+w.platform.leaseMillis())
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lapse = time.AfterFunc(time.Duration(w.deadline-w.clock())*time.Millisecond, func() {
+	w.leaseTimer = time.AfterFunc(time.Duration(w.deadline-w.clockMillis())*time.Millisecond, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, x := range w.runs {
-			w.end(x, "lapsed")
+			w.endRun(x, "lapsed")
 		}
 	})
 }
 
 func (w *Worker) hold(rw http.ResponseWriter, r *http.Request, deadline, acked, wait int64) {
-	w.extend(deadline)
+	w.extendLease(deadline)
 	for _, x := range w.runs {
-		if x.n > 0 && x.n <= acked && !x.Acked {
+		if x.endNumber > 0 && x.endNumber <= acked && !x.Acked {
 			w.platform.mu.Lock()
 			x.Acked, x.AckedAt = true, time.Now()
 			w.platform.mu.Unlock()
@@ -219,39 +219,39 @@
 		w.mu.Lock()
 	}
 	if w.dead {
-		panic(http.ErrAbortHandler) // a worker that has crashed tells no ends; its connections break
+		panic(http.ErrAbortHandler) // a crashed worker reports no ends; its connections close
 	}
 	running, ends := [][]any{}, [][]any{}
 	for _, x := range w.runs {
 		switch {
 		case x.To.IsZero():
-			running = append(running, []any{x.Task, x.Number, x.saved, 100})
-		case x.n > w.acked:
-			ends = append(ends, []any{x.n, x.Task, x.Number, x.How, x.saved})
+			running = append(running, []any{x.Task, x.Number, x.checkpoint, 100})
+		case x.endNumber > w.acked:
+			ends = append(ends, []any{x.endNumber, x.Task, x.Number, x.How, x.checkpoint})
 		}
 	}
 	slices.SortFunc(ends, func(a, b []any) int { return int(a[0].(int64) - b[0].(int64)) })
-	list := map[string]any{"ClockMs": w.clock(), "Running": running, "Ended": ends}
-	w.tellBirth(list)
+	list := map[string]any{"ClockMs": w.clockMillis(), "Running": running, "Ended": ends}
+	w.addIncarnation(list)
 	reply(rw, http.StatusOK, list)
 }
 
-// tellBirth adds the birth to what the worker says of itself, or of what runs there.
-func (w *Worker) tellBirth(said map[string]any) {
+// addIncarnation adds the incarnation to a report of the worker.
+func (w *Worker) addIncarnation(report map[string]any) {
 	if w.Birth != 0 {
-		said["born"] = w.Birth
+		report["born"] = w.Birth
 	}
 }
 
-// die ends the life and all that runs there.
-func (w *Worker) die() {
+// kill ends the worker and all its runs.
+func (w *Worker) kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dead = true
 	for _, x := range w.runs {
-		w.end(x, "lost")
+		w.endRun(x, "lost")
 	}
-	if w.lapse != nil {
-		w.lapse.Stop()
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
 }
