--- a/admin/client.go
+++ b/admin/client.go
@@ -36,14 +36,14 @@
 const clientTime = callTime + 3*time.Second
 
 // Apply publishes the configuration.
-func (c *Client) Apply(ctx context.Context, a Apply) (Accepted, error) {
+func (c *Client) Apply(ctx context.Context, a ApplyRequest) (Accepted, error) {
 	var out Accepted
 	return out, c.call(ctx, http.MethodPut, "/v1/configuration", a, &out)
 }
 
 // Configuration returns the configuration in force.
-func (c *Client) Configuration(ctx context.Context) (Current, error) {
-	var out Current
+func (c *Client) Configuration(ctx context.Context) (CurrentConfiguration, error) {
+	var out CurrentConfiguration
 	return out, c.call(ctx, http.MethodGet, "/v1/configuration", nil, &out)
 }
 
@@ -72,8 +72,8 @@
 }
 
 // Result returns what the entry knows of a record.
-func (c *Client) Result(ctx context.Context, id string) (Known, error) {
-	var out Known
+func (c *Client) Result(ctx context.Context, id string) (RecordResult, error) {
+	var out RecordResult
 	return out, c.call(ctx, http.MethodGet, "/v1/results/"+url.PathEscape(id), nil, &out)
 }
 
@@ -96,14 +96,14 @@
 }
 
 // TimeLine returns the events about the subject of all entries that the entry reaches.
-func (c *Client) TimeLine(ctx context.Context, about event.Subject) (Line, error) {
+func (c *Client) TimeLine(ctx context.Context, about event.Subject) (TimeLine, error) {
 	q := url.Values{}
 	for name, v := range map[string]string{"plan": about.Plan, "instance": about.Instance, "job": about.Job, "request": about.Request} {
 		if v != "" {
 			q.Set(name, v)
 		}
 	}
-	var out Line
+	var out TimeLine
 	return out, c.call(ctx, http.MethodGet, "/v1/timeline?"+q.Encode(), nil, &out)
 }
 
--- a/admin/encoding_test.go
+++ b/admin/encoding_test.go
@@ -17,12 +17,12 @@
 // The command line and entries of other versions read these bodies, and users write some of them.
 func TestJSONFormsStay(t *testing.T) {
 	c := quicktest.New(t)
-	checkJSON[Apply](c, "apply")
+	checkJSON[ApplyRequest](c, "apply")
 	checkJSON[Accepted](c, "accepted")
-	checkJSON[Current](c, "current")
+	checkJSON[CurrentConfiguration](c, "current")
 	checkJSON[Status](c, "status")
-	checkJSON[Line](c, "line")
-	checkJSON[Known](c, "known")
+	checkJSON[TimeLine](c, "line")
+	checkJSON[RecordResult](c, "known")
 	checkJSON[event.Event](c, "event")
 	checkJSON[fleet.Plan](c, "plan")
 	checkJSON[fleet.Job](c, "job")
--- a/admin/server.go
+++ b/admin/server.go
@@ -19,18 +19,18 @@
 
 // Server answers operators.
 type Server struct {
-	// Bootstrap is the hash of the token that may publish the first configuration; none when empty.
-	Bootstrap string
+	// BootstrapTokenHash is the hash of the token that may publish the first configuration; none when empty.
+	BootstrapTokenHash string
 	// Metrics answers the scraper; none when nil.
 	Metrics http.Handler
 	// Publish writes a record and waits for the fold's answer.
 	Publish func(ctx context.Context, by string, r fleet.Record) (fleet.Result, error)
-	// Read runs f with the tables, which are nil before the entry has any; f must not keep them.
-	Read func(ctx context.Context, f func(t *fleet.Tables)) error
+	// ReadTables runs f with the tables, which are nil before the entry has any; f must not keep them.
+	ReadTables func(ctx context.Context, f func(t *fleet.Tables)) error
 	// Status returns what the entry knows.
 	Status func(ctx context.Context) (Status, error)
-	// Plan makes a plan from the tables.
-	Plan func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error)
+	// MakePlan makes a plan from the tables.
+	MakePlan func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error)
 	// TimeLine collects the events of all entries.
 	TimeLine func(ctx context.Context, about event.Subject) ([]event.Event, []string)
 
@@ -98,13 +98,13 @@
 // operator returns the name of the request's operator, and whether the entry has a configuration yet.
 func (s *Server) operator(r *http.Request) (name string, configured bool, err error) {
 	hash := serve.TokenHash(org.KeyOf(r.Header.Get("Authorization")))
-	err = s.Read(r.Context(), func(t *fleet.Tables) {
+	err = s.ReadTables(r.Context(), func(t *fleet.Tables) {
 		if t == nil {
 			return
 		}
 		configured = t.Version > 0
 		for _, o := range t.Configuration.Operators {
-			if serve.SameHash(o.TokenHash, hash) {
+			if serve.EqualTokenHashes(o.TokenHash, hash) {
 				name = o.Name
 			}
 		}
@@ -143,10 +143,10 @@
 }
 
 func (s *Server) getConfiguration(c call) {
-	var current Current
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	var current CurrentConfiguration
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t != nil {
-			current = Current{Version: t.Version, Configuration: t.Configuration}
+			current = CurrentConfiguration{Version: t.Version, Configuration: t.Configuration}
 		}
 	})
 	if err != nil {
@@ -162,14 +162,14 @@
 		failed(w, err)
 		return
 	}
-	if !configured && s.Bootstrap != "" && serve.SameHash(s.Bootstrap, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
+	if !configured && s.BootstrapTokenHash != "" && serve.EqualTokenHashes(s.BootstrapTokenHash, serve.TokenHash(org.KeyOf(r.Request.Header.Get("Authorization")))) {
 		by = "bootstrap"
 	}
 	if by == "" {
 		unauthorized(w)
 		return
 	}
-	var a Apply
+	var a ApplyRequest
 	if !read(r, w, &a) {
 		return
 	}
@@ -219,7 +219,7 @@
 
 func (s *Server) rows(c call, of func(*fleet.Tables) any) {
 	var body any
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			t = fleet.New()
 		}
@@ -235,7 +235,7 @@
 func (s *Server) getResult(c call) {
 	id := c.r.PathParameter("id")
 	s.rows(c, func(t *fleet.Tables) any {
-		known := Known{ID: id}
+		known := RecordResult{ID: id}
 		if res := t.Result(id); res != nil {
 			known.Found, known.Version, known.Refusal = true, res.Version, res.Refusal
 		}
@@ -247,7 +247,7 @@
 	q := c.r.Request.URL.Query()
 	about := event.Subject{Plan: q.Get("plan"), Instance: q.Get("instance"), Job: q.Get("job"), Request: q.Get("request")}
 	events, unreached := s.TimeLine(c.context(), about)
-	answer(c.w, http.StatusOK, Line{Events: events, Unreached: unreached})
+	answer(c.w, http.StatusOK, TimeLine{Events: events, Unreached: unreached})
 }
 
 func (s *Server) postPlan(c call) {
@@ -257,11 +257,11 @@
 	}
 	var p fleet.Plan
 	var planErr error
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			t = fleet.New()
 		}
-		p, planErr = s.Plan(t, "plan-"+rand.Text()[:8], intent)
+		p, planErr = s.MakePlan(t, "plan-"+rand.Text()[:8], intent)
 	})
 	switch {
 	case err != nil:
@@ -282,7 +282,7 @@
 
 func (s *Server) getPlan(c call) {
 	var p *fleet.Plan
-	err := s.Read(c.context(), func(t *fleet.Tables) {
+	err := s.ReadTables(c.context(), func(t *fleet.Tables) {
 		if t == nil {
 			return
 		}
--- a/admin/wire.go
+++ b/admin/wire.go
@@ -9,8 +9,8 @@
 	"rackstep.dev/fleet"
 )
 
-// Apply publishes a configuration that was made from version Base.
-type Apply struct {
+// ApplyRequest publishes a configuration that was made from version Base.
+type ApplyRequest struct {
 	// ID names the record; the same ID is folded once.
 	ID            string              `json:"id"`
 	Base          uint64              `json:"base"`
@@ -24,8 +24,8 @@
 	Offset  int64  `json:"offset"`
 }
 
-// Current is the configuration in force at the entry that was asked.
-type Current struct {
+// CurrentConfiguration is the configuration in force at the entry that was asked.
+type CurrentConfiguration struct {
 	Version       uint64              `json:"version"`
 	Configuration fleet.Configuration `json:"configuration"`
 }
@@ -97,14 +97,14 @@
 	Quota int    `json:"quota"`
 }
 
-// Line is the time line, with the entries that could not be asked.
-type Line struct {
+// TimeLine is the time line, with the entries that could not be asked.
+type TimeLine struct {
 	Events    []event.Event `json:"events"`
 	Unreached []string      `json:"unreached"`
 }
 
-// Known is what an entry knows of a record by its ID.
-type Known struct {
+// RecordResult is what an entry knows of a record by its ID.
+type RecordResult struct {
 	ID      string         `json:"id"`
 	Found   bool           `json:"found"`
 	Version uint64         `json:"version"`
--- a/claim/book.go
+++ b/claim/book.go
@@ -16,8 +16,8 @@
 // ErrNotClaimed means that the claim was not seen in the log in time, so the request was not dispatched by this entry.
 var ErrNotClaimed = errors.New("the claims log gave no verdict in time; the request did not run here, send it again with the same key")
 
-// Book is an entry's view of the claims log and its writer.
-type Book struct {
+// Registry is an entry's view of the claims log and its writer.
+type Registry struct {
 	// Append adds one record to the claims log; it returns feed.ErrUnavailable when the record was not added.
 	Append func(ctx context.Context, data []byte) error
 	// Interval is the least time between two appends; 30ms when 0. See SetEntries.
@@ -58,7 +58,7 @@
 	clockSlack = time.Minute
 )
 
-func (b *Book) now() time.Time {
+func (b *Registry) now() time.Time {
 	if b.Clock != nil {
 		return b.Clock()
 	}
@@ -68,7 +68,7 @@
 // StartAt says that the log was read from the offset on, where this record stands.
 //
 // Claims in records that the log has dropped can't be seen. A key whose NotAfter could be theirs is not claimed here.
-func (b *Book) StartAt(offset int64, first []byte) {
+func (b *Registry) StartAt(offset int64, first []byte) {
 	if offset == 0 {
 		return
 	}
@@ -80,31 +80,31 @@
 }
 
 // Gap says that records were dropped before this entry read them.
-func (b *Book) Gap() { b.notBefore(b.now().UnixMilli()) }
+func (b *Registry) Gap() { b.notBefore(b.now().UnixMilli()) }
 
 // notBefore refuses claims that could have been made before the time, in Unix milliseconds.
-func (b *Book) notBefore(at int64) {
+func (b *Registry) notBefore(at int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.since = max(b.since, at+(MaxAhead+clockSlack).Milliseconds())
 }
 
 // SetReady says whether the book has read the log up to its end; until then every claim is refused.
-func (b *Book) SetReady(ready bool) {
+func (b *Registry) SetReady(ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ready = ready
 }
 
 // Len returns the number of claims kept.
-func (b *Book) Len() int {
+func (b *Registry) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tables.Len()
 }
 
-// Look returns what is known of the claim's key, and false when nothing is.
-func (b *Book) Look(c Claim) (Verdict, bool) {
+// Lookup returns what is known of the claim's key, and false when nothing is.
+func (b *Registry) Lookup(c Claim) (Verdict, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tables.Look(c)
@@ -113,7 +113,7 @@
 // Claim asks the log for the key and waits for the verdict; it fails with ErrNotClaimed when none comes in time.
 //
 // After an error the caller must not dispatch the request.
-func (b *Book) Claim(ctx context.Context, c Claim) (Verdict, error) {
+func (b *Registry) Claim(ctx context.Context, c Claim) (Verdict, error) {
 	w, verdict, err := b.enqueue(c)
 	if w == nil {
 		return verdict, err
@@ -128,7 +128,7 @@
 	}
 }
 
-func (b *Book) enqueue(c Claim) (*waiter, Verdict, error) {
+func (b *Registry) enqueue(c Claim) (*waiter, Verdict, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if v, ok := b.tables.Look(c); ok && v.Kind != Won {
@@ -148,7 +148,7 @@
 }
 
 // refused says why the claim can't be asked for now, or returns nil.
-func (b *Book) refused(c Claim) error {
+func (b *Registry) refused(c Claim) error {
 	now := b.now()
 	switch {
 	case !b.ready:
@@ -167,7 +167,7 @@
 }
 
 // abandon gives the claim up, so that a later copy of the request may run: it is not appended, or released when it wins.
-func (b *Book) abandon(c Claim, w *waiter, cause error) (Verdict, error) {
+func (b *Registry) abandon(c Claim, w *waiter, cause error) (Verdict, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -187,7 +187,7 @@
 const maxAbandoned = 10_000
 
 // forget takes a claim out of those to be appended, or remembers it until its verdict comes.
-func (b *Book) forget(c Claim) {
+func (b *Registry) forget(c Claim) {
 	before := len(b.claims)
 	b.claims = slices.DeleteFunc(b.claims, func(o Claim) bool { return o.Token == c.Token })
 	if len(b.claims) < before {
@@ -200,14 +200,14 @@
 }
 
 // Complete records the whole answer's status for a claim that this entry won.
-func (b *Book) Complete(c Claim, status int) {
+func (b *Registry) Complete(c Claim, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.end(Completion{Key: c.Key, Token: c.Token, Status: status})
 }
 
 // Release gives a claim back that this entry won and has not dispatched and never will.
-func (b *Book) Release(c Claim) {
+func (b *Registry) Release(c Claim) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.end(Completion{Key: c.Key, Token: c.Token})
@@ -216,7 +216,7 @@
 // maxEnds bounds the completions that wait for the log while it is down; a lost one leaves its claim unknown.
 const maxEnds = 100_000
 
-func (b *Book) end(c Completion) {
+func (b *Registry) end(c Completion) {
 	if len(b.ends) < maxEnds {
 		b.ends = append(b.ends, c)
 	}
@@ -224,7 +224,7 @@
 }
 
 // Fold applies a record of the claims log; records come in the log's order, each once.
-func (b *Book) Fold(data []byte) error {
+func (b *Registry) Fold(data []byte) error {
 	batch, err := DecodeBatch(data)
 	if err != nil {
 		return err
@@ -235,7 +235,7 @@
 	return nil
 }
 
-func (b *Book) decided(c Claim, v Verdict) {
+func (b *Registry) decided(c Claim, v Verdict) {
 	if b.abandoned[c.Token] {
 		delete(b.abandoned, c.Token)
 		if v.Kind == Won {
@@ -250,7 +250,7 @@
 }
 
 // Run appends what waits until the context ends and returns its error.
-func (b *Book) Run(ctx context.Context) error {
+func (b *Registry) Run(ctx context.Context) error {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	for {
@@ -272,7 +272,7 @@
 }
 
 // wake returns a channel that is ready when something waits to be appended.
-func (b *Book) wake() <-chan struct{} {
+func (b *Registry) wake() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.waken == nil {
@@ -285,7 +285,7 @@
 }
 
 // notify wakes Run; the caller holds mu.
-func (b *Book) notify() {
+func (b *Registry) notify() {
 	select {
 	case b.waken <- struct{}{}:
 	default:
@@ -293,13 +293,13 @@
 }
 
 // SetEntries says how many entries share the log, so that all together stay within SiteAppends.
-func (b *Book) SetEntries(n int) {
+func (b *Registry) SetEntries(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = n
 }
 
-func (b *Book) interval() time.Duration {
+func (b *Registry) interval() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	least := b.Interval
@@ -310,13 +310,13 @@
 }
 
 // holding says that only completions wait and the log was not reachable a moment ago.
-func (b *Book) holding() bool {
+func (b *Registry) holding() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.claims) == 0 && b.now().Before(b.retryAt)
 }
 
-func (b *Book) flush(ctx context.Context) {
+func (b *Registry) flush(ctx context.Context) {
 	batch := b.take()
 	if len(batch.Claims) == 0 && len(batch.Completions) == 0 {
 		return
@@ -328,7 +328,7 @@
 	b.appended(batch, err)
 }
 
-func (b *Book) take() Batch {
+func (b *Registry) take() Batch {
 	limit := b.MaxBatch
 	if limit == 0 {
 		limit = DefaultBatch
@@ -344,7 +344,7 @@
 }
 
 // appended fails the waiters of a batch that is certainly not in the log and keeps its completions for later.
-func (b *Book) appended(batch Batch, err error) {
+func (b *Registry) appended(batch Batch, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err == nil {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -133,7 +133,7 @@
 // looped is a Book whose log is a slice in memory.
 type looped struct {
 	mu   sync.Mutex
-	book Book
+	book Registry
 	log  [][]byte
 	fail error
 }
--- a/cmd/rackstep/apply.go
+++ b/cmd/rackstep/apply.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	a := admin.Apply{ID: c.String("id"), Base: c.Uint64("base"), Configuration: conf}
+	a := admin.ApplyRequest{ID: c.String("id"), Base: c.Uint64("base"), Configuration: conf}
 	if a.ID == "" {
 		a.ID = rand.Text()
 	}
--- a/cmd/rackstep/client.go
+++ b/cmd/rackstep/client.go
@@ -39,7 +39,7 @@
 	}
 	api := &admin.Client{Address: address, Token: token}
 	if file := c.String("authority"); file != "" {
-		pool, err := config.Authority(file)
+		pool, err := config.LoadAuthority(file)
 		if err != nil {
 			return nil, cli.Exit(err, exitUsage)
 		}
--- a/cmd/rackstep/standin.go
+++ b/cmd/rackstep/standin.go
@@ -71,7 +71,7 @@
 	}
 	servers := []*http.Server{{Addr: s.Address, Handler: p, ReadHeaderTimeout: 5 * time.Second}}
 	for _, in := range s.Instances {
-		row := provider.Listed{ID: in.ID, Role: provider.Role(in.Role), DataCentre: in.DataCentre, Rack: in.Rack, Address: in.Address, Cores: in.Cores, MemoryMB: in.MemoryMB}
+		row := provider.Instance{ID: in.ID, Role: provider.Role(in.Role), DataCentre: in.DataCentre, Rack: in.Rack, Address: in.Address, Cores: in.Cores, MemoryMB: in.MemoryMB}
 		var target *standin.Target
 		if row.Role == provider.RoleWorker && row.Address != "" {
 			target = &standin.Target{Instance: in.ID}
--- a/cmd/rackstep/status.go
+++ b/cmd/rackstep/status.go
@@ -201,7 +201,7 @@
 	}
 }
 
-func printLine(w *table, line admin.Line) {
+func printLine(w *table, line admin.TimeLine) {
 	w.head("OFFSET", "ENTRY", "TIME", "EVENT", "ABOUT", "TEXT")
 	for _, e := range line.Events {
 		about := strings.Join(slices.DeleteFunc([]string{e.Plan, e.Instance, e.Job, e.Request, e.Subject.Entry}, func(s string) bool { return s == "" }), " ")
--- a/config/settings.go
+++ b/config/settings.go
@@ -82,8 +82,8 @@
 	return s, problems, nil
 }
 
-// Secret returns the peers' shared secret.
-func (s Settings) Secret() ([]byte, error) {
+// LoadPeerSecret returns the peers' shared secret.
+func (s Settings) LoadPeerSecret() ([]byte, error) {
 	if s.PeerSecretFile == "" {
 		return []byte(s.PeerSecret), nil
 	}
--- a/config/tls.go
+++ b/config/tls.go
@@ -13,8 +13,8 @@
 // ErrAuthority means that a file holds no certificate of an authority.
 var ErrAuthority = errors.New("the file holds no certificate in PEM; name the authority's certificate")
 
-// Server returns what the callers' and operators' addresses use, nil when TLS is not wanted.
-func (t TLS) Server() (*tls.Config, error) {
+// ServerConfig returns what the callers' and operators' addresses use, nil when TLS is not wanted.
+func (t TLS) ServerConfig() (*tls.Config, error) {
 	if !t.Set() {
 		return nil, nil
 	}
@@ -25,13 +25,13 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"}}, nil
 }
 
-// Peers returns what links between entries use in both directions, nil when TLS is not wanted.
-func (t TLS) Peers() (*tls.Config, error) {
-	c, err := t.Server()
+// PeerConfig returns what links between entries use in both directions, nil when TLS is not wanted.
+func (t TLS) PeerConfig() (*tls.Config, error) {
+	c, err := t.ServerConfig()
 	if c == nil || err != nil {
 		return nil, err
 	}
-	pool, err := Authority(t.Authority)
+	pool, err := LoadAuthority(t.Authority)
 	if err != nil {
 		return nil, err
 	}
@@ -40,8 +40,8 @@
 	return c, nil
 }
 
-// Authority reads the certificates that are trusted.
-func Authority(name string) (*x509.CertPool, error) {
+// LoadAuthority reads the certificates that are trusted.
+func LoadAuthority(name string) (*x509.CertPool, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("read the authority: %w", err)
--- a/control/checkpoint.go
+++ b/control/checkpoint.go
@@ -73,7 +73,7 @@
 	}
 	c.marks.writing = true
 	go func() {
-		_, err := c.Log.Append(c.ctx, [][]byte{data})
+		_, err := c.FleetLog.Append(c.ctx, [][]byte{data})
 		_ = c.post(c.ctx, func() { // it fails only when the entry stops
 			c.marks.writing = false
 			if err == nil {
--- a/control/controller.go
+++ b/control/controller.go
@@ -33,12 +33,12 @@
 	Self fleet.Entry
 	// Seeds are peers to try before the tables name any.
 	Seeds []Seed
-	// Log is the fleet log, Claims the claims log.
-	Log, Claims *feed.Log
+	// FleetLog is the fleet log, Claims the claims log.
+	FleetLog, ClaimsLog *feed.Log
 	Platform    *provider.Client
 	Mesh        *peer.Mesh
 	Server      *serve.Server
-	Book        *claim.Book
+	Registry        *claim.Registry
 	Events      *event.Ring
 	Costs       plan.Costs
 	// PeerMeter and PlatformMeter count the bytes of the links and of the platform's services; may be nil.
--- a/control/execute.go
+++ b/control/execute.go
@@ -130,7 +130,7 @@
 
 // ask sends the command and follows it until its end is known.
 func (c *Controller) ask(ctx context.Context, cmd plan.Command, order provider.Command, about event.Subject) {
-	state, err := c.Platform.Run(ctx, cmd.Instance, cmd.ID, order)
+	state, err := c.Platform.RunCommand(ctx, cmd.Instance, cmd.ID, order)
 	if err != nil {
 		c.Events.Emit(event.CommandUncertain, about, err.Error())
 	}
@@ -156,5 +156,5 @@
 	case provider.CommandExpired:
 		return plan.CommandExpired
 	}
-	return plan.CommandAbsent
+	return plan.CommandUnknown
 }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -53,7 +53,7 @@
 		c.members.own = own
 		c.members.byEntry[c.Self.ID] = &member{status: own, heard: now}
 	}
-	for _, p := range c.Mesh.Up() {
+	for _, p := range c.Mesh.ConnectedPeers() {
 		c.gossipTo(p, now, draining)
 	}
 }
--- a/control/hold.go
+++ b/control/hold.go
@@ -104,7 +104,7 @@
 	}
 	go func() {
 		defer cancel()
-		reports, err := c.Platform.Hold(ctx, instance, order)
+		reports, err := c.Platform.RenewLeases(ctx, instance, order)
 		_ = c.post(c.ctx, func() { // it fails only when the entry stops
 			if h.cancel != nil && h.calls == call { // else it was given up
 				c.holdSays(instance, h, jobs, reports, err)
--- a/control/jobs.go
+++ b/control/jobs.go
@@ -34,7 +34,7 @@
 	if !c.jobs.pending {
 		return place.Decisions{}
 	}
-	return place.Decide(c.tables, place.Options{Most: startsATick, Until: plan.Turns(c.tables, c.Costs)})
+	return place.Decide(c.tables, place.Options{MaxStarts: startsATick, UntilDrain: plan.TimeToTakeOut(c.tables, c.Costs)})
 }
 
 // startJobs writes what is decided about pending jobs.
@@ -63,7 +63,7 @@
 }
 
 // patience is how long a job about to end is waited for, by the weights of the site.
-func (c *Controller) patience() time.Duration { return c.Costs.Wait(c.tables.Configuration.Weights) }
+func (c *Controller) patience() time.Duration { return c.Costs.JobWait(c.tables.Configuration.Weights) }
 
 // SubmitJob is serve.Jobs' Submit.
 func (c *Controller) SubmitJob(ctx context.Context, team string, spec fleet.JobSpec) error {
--- a/control/members.go
+++ b/control/members.go
@@ -136,12 +136,12 @@
 
 // neighbours returns the live entries of this data centre and their number by the tables.
 func (m *members) neighbours(c *Controller) (live []string, known int) {
-	up := c.Mesh.Up()
+	up := c.Mesh.ConnectedPeers()
 	live = slices.DeleteFunc(m.in(c, c.Self.DataCentre), func(id string) bool {
 		return id != c.Self.ID && !slices.Contains(up, id)
 	})
 	known = len(live)
-	gone := c.Mesh.Gone()
+	gone := c.Mesh.ExitedPeers()
 	for id, e := range c.tables.Entries.All {
 		if e.DataCentre == c.Self.DataCentre && !slices.Contains(live, id) && !slices.Contains(gone, id) && !m.stopped(id, e.Boot) {
 			known++
--- a/control/observe.go
+++ b/control/observe.go
@@ -13,9 +13,9 @@
 
 // listing is the latest answer of the platform's instance list.
 type listing struct {
-	rows map[string]provider.Listed
+	rows map[string]provider.Instance
 	// last is the latest answer, believed or not.
-	last []provider.Listed
+	last []provider.Instance
 	// seen are the lives of entries that the list has shown; unseen is since when it has not shown a joined one.
 	seen   map[life]bool
 	unseen map[life]time.Time
@@ -31,7 +31,7 @@
 const doubtsToBelieve = 3
 
 // believable says whether the answer may replace the one before it.
-func (l *listing) believable(fresh map[string]provider.Listed) bool {
+func (l *listing) believable(fresh map[string]provider.Instance) bool {
 	kept := 0
 	for id := range l.rows {
 		if _, ok := fresh[id]; ok {
@@ -82,7 +82,7 @@
 }
 
 // listPause is the time to the next read of the list.
-func listPause(l provider.List) time.Duration {
+func listPause(l provider.InstanceList) time.Duration {
 	each := listedBytes
 	if l.Compressed {
 		each = compressedBytes
@@ -91,7 +91,7 @@
 	return min(longestList, max(listPeriod, paced))
 }
 
-func (c *Controller) listed(list provider.List, err error) {
+func (c *Controller) listed(list provider.InstanceList, err error) {
 	c.listReached(err == nil)
 	if err != nil {
 		return // an old list is better than none: it says nothing of instances that came or went since
@@ -104,7 +104,7 @@
 		rows = c.list.last
 	}
 	c.list.last = rows
-	fresh := make(map[string]provider.Listed, len(rows))
+	fresh := make(map[string]provider.Instance, len(rows))
 	for _, r := range rows {
 		fresh[r.ID] = r
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-func (l *listing) differs(fresh map[string]provider.Listed) bool {
+func (l *listing) differs(fresh map[string]provider.Instance) bool {
 	if len(l.rows) != len(fresh) {
 		return true
 	}
--- a/control/reader.go
+++ b/control/reader.go
@@ -24,18 +24,18 @@
 
 // follow reads the fleet log until the context ends.
 func (c *Controller) follow(ctx context.Context) {
-	r := feed.Reader{Log: c.Log}
-	r.Page = func(ctx context.Context, p feed.Page) (next int64, err error) {
+	r := feed.Reader{Log: c.FleetLog}
+	r.OnPage = func(ctx context.Context, p feed.Page) (next int64, err error) {
 		if err := c.do(ctx, func() { next, err = c.page(p) }); err != nil {
 			return 0, err
 		}
 		return next, err
 	}
-	r.Trimmed = func(ctx context.Context, first int64) (next int64, err error) {
+	r.OnTrimmed = func(ctx context.Context, first int64) (next int64, err error) {
 		c.Events.Emit(event.LogTrimmed, event.Subject{}, fmt.Sprintf("the log begins at %d", first))
 		return c.trimmed(ctx, first)
 	}
-	r.Failed = c.readFailed
+	r.OnError = c.readFailed
 	_ = r.Run(ctx) // it ends with the context
 }
 
@@ -185,8 +185,8 @@
 // followClaims reads the claims log until the context ends.
 func (c *Controller) followClaims(ctx context.Context) {
 	started := false
-	r := feed.Reader{Log: c.Claims}
-	r.Page = func(_ context.Context, p feed.Page) (int64, error) {
+	r := feed.Reader{Log: c.ClaimsLog}
+	r.OnPage = func(_ context.Context, p feed.Page) (int64, error) {
 		next := p.Next
 		if len(p.Records) > 0 {
 			next = p.Records[len(p.Records)-1].Offset + 1
@@ -194,19 +194,19 @@
 		for _, e := range p.Records {
 			if !started {
 				started = true
-				c.Book.StartAt(e.Offset, e.Data)
+				c.Registry.StartAt(e.Offset, e.Data)
 			}
-			if err := c.Book.Fold(e.Data); err != nil {
+			if err := c.Registry.Fold(e.Data); err != nil {
 				c.Events.Emit(event.ClaimsUnreadable, event.Subject{}, err.Error())
 			}
 		}
-		c.Book.SetReady(next >= p.Next)
+		c.Registry.SetReady(next >= p.Next)
 		return next, nil
 	}
-	r.Trimmed = func(_ context.Context, first int64) (int64, error) {
-		c.Book.Gap()
+	r.OnTrimmed = func(_ context.Context, first int64) (int64, error) {
+		c.Registry.Gap()
 		return first, nil
 	}
-	r.Failed = func(_ context.Context, next int64, _ error) int64 { return next }
+	r.OnError = func(_ context.Context, next int64, _ error) int64 { return next }
 	_ = r.Run(ctx) // it ends with the context
 }
--- a/control/status.go
+++ b/control/status.go
@@ -19,7 +19,7 @@
 func (c *Controller) Status(ctx context.Context) (admin.Status, error) {
 	st := admin.Status{Entry: c.Self.ID, Offset: -1, Jobs: make(admin.JobCounts)}
 	st.InFlight, st.Waiting, st.Slots = c.Server.Load()
-	st.Claims = c.Book.Len()
+	st.Claims = c.Registry.Len()
 	if c.PeerMeter != nil {
 		st.PeerIn, st.PeerOut = c.PeerMeter.Bytes()
 	}
@@ -52,7 +52,7 @@
 	st.Version, st.Offset = t.Version, t.Offset
 	for i := range t.Configuration.Services {
 		s := &t.Configuration.Services[i]
-		st.Services = append(st.Services, admin.ServiceStatus{Service: s.Name, Pool: s.Pool, Margin: t.Spare(s.Budget()).Least()})
+		st.Services = append(st.Services, admin.ServiceStatus{Service: s.Name, Pool: s.Pool, Margin: t.Spare(s.Budget()).Min()})
 	}
 	for _, team := range t.Configuration.Teams {
 		if cores := t.TeamCores(team.Name); cores > 0 {
--- a/control/tail.go
+++ b/control/tail.go
@@ -80,7 +80,7 @@
 
 // catchUp asks the linked peers for what this entry misses of the fleet log.
 func (c *Controller) catchUp(ctx context.Context) {
-	for _, entry := range c.Mesh.Up() {
+	for _, entry := range c.Mesh.ConnectedPeers() {
 		after := int64(-1)
 		if c.do(ctx, func() {
 			if c.tables != nil {
--- a/control/tasks.go
+++ b/control/tasks.go
@@ -118,7 +118,7 @@
 // shouldLeave says whether a job on a draining instance is moved rather than waited for.
 func (c *Controller) shouldLeave(id string, j *fleet.Job) bool {
 	seen := c.tasks.seen[id]
-	return seen == nil || plan.Leaves(j, seen.ran(time.Now()), c.patience())
+	return seen == nil || plan.ShouldMove(j, seen.ran(time.Now()), c.patience())
 }
 
 // askAbout makes a call about one attempt when that is due.
--- a/control/tell.go
+++ b/control/tell.go
@@ -152,7 +152,7 @@
 			events = append(events, e)
 		}
 	}
-	up := c.Mesh.Up()
+	up := c.Mesh.ConnectedPeers()
 	for _, entry := range up {
 		more, err := c.askEvents(ctx, entry, about)
 		if err != nil {
@@ -168,7 +168,7 @@
 			}
 		}
 	})
-	event.Order(events)
+	event.SortTimeLine(events)
 	return events, unreached
 }
 
--- a/control/usage.go
+++ b/control/usage.go
@@ -41,7 +41,7 @@
 	if report != nil {
 		u.latest[u.next] = *report
 		u.next = (u.next + 1) % usageKept
-		u.longest, u.told = report.Ran, now
+		u.longest, u.told = report.RunTime, now
 	}
 	return u
 }
@@ -56,8 +56,8 @@
 }
 
 // most returns the largest of the latest reports.
-func (u *usage) most() place.Seen {
-	s := place.Seen{Ran: u.longest}
+func (u *usage) most() place.Usage {
+	s := place.Usage{Ran: u.longest}
 	for _, r := range u.latest {
 		s.Cores = max(s.Cores, r.Cores)
 		s.MemoryMB = max(s.MemoryMB, r.MemoryMB)
--- a/control/view.go
+++ b/control/view.go
@@ -41,7 +41,7 @@
 	}
 	v := c.view(now)
 	c.Server.SetView(v)
-	c.Book.SetEntries(c.tables.Entries.Len())
+	c.Registry.SetEntries(c.tables.Entries.Len())
 	c.viewed, c.viewedWith = true, now
 	if old == nil || old.Version != v.Version {
 		c.Events.Emit(event.ConfigurationInForce, event.Subject{}, versionText(v.Version))
@@ -55,7 +55,7 @@
 	}
 	v := *old
 	v.Offset = c.tables.Offset
-	c.Server.MoveView(&v)
+	c.Server.AdvanceView(&v)
 }
 
 // linkTime is how long a new entry waits for links to all data centres before it serves without them.
@@ -76,7 +76,7 @@
 		}
 	}
 	c.ready = true
-	c.Server.SetLinked()
+	c.Server.SetLinkAttempted()
 	c.Events.Emit(event.EntryReady, event.Subject{}, "")
 }
 
@@ -98,7 +98,7 @@
 	for _, id := range sortedKeys(held) {
 		m.held += id + "=" + itoa(held[id]) + " "
 	}
-	m.far = strings.Join(c.Mesh.Up(), " ")
+	m.far = strings.Join(c.Mesh.ConnectedPeers(), " ")
 	return m
 }
 
@@ -109,12 +109,12 @@
 		Services: make(map[string]*serve.Service, len(t.Configuration.Services)),
 		Entries:  make(map[string][]string),
 	}
-	v.Near, v.Region = c.near()
+	v.ByDistance, v.RegionSize = c.near()
 	var err error
 	if v.Organisations, err = t.Configuration.Organisations(); err != nil {
 		c.Events.Emit(event.RecordRefused, event.Subject{}, err.Error()) // nobody is known until it is mended
 	}
-	for _, id := range c.Mesh.Up() {
+	for _, id := range c.Mesh.ConnectedPeers() {
 		if e := c.members.byEntry[id]; e != nil && !e.status.Stopping {
 			v.Entries[e.status.DataCentre] = append(v.Entries[e.status.DataCentre], id)
 		}
@@ -139,7 +139,7 @@
 			out.Targets = append(out.Targets, route.Target{Instance: id, Address: in.Address, Generation: in.Generation, Held: held[id]})
 		}
 	}
-	out.Serving = sortedKeys(serving)
+	out.AvailableIn = sortedKeys(serving)
 	if len(out.Targets) > 0 {
 		out.Owner = route.Owner(s.Name, m.live)
 	}
--- a/control/writer.go
+++ b/control/writer.go
@@ -56,7 +56,7 @@
 		sleep(ctx, writeInterval)
 		batch = w.gather(batch)
 		// A lost batch is written again by the systems, or by the operator's Publish.
-		if _, err := w.c.Log.Append(ctx, batch); err != nil && !errors.Is(err, feed.ErrUncertain) {
+		if _, err := w.c.FleetLog.Append(ctx, batch); err != nil && !errors.Is(err, feed.ErrUncertain) {
 			sleep(ctx, repeatTime)
 		}
 	}
@@ -156,7 +156,7 @@
 func (c *Controller) appendUntil(ctx context.Context, id string, data []byte, wait chan fleet.Result) (fleet.Result, error) {
 	mayBeThere := false
 	for {
-		_, err := c.Log.Append(ctx, [][]byte{data})
+		_, err := c.FleetLog.Append(ctx, [][]byte{data})
 		mayBeThere = mayBeThere || err == nil || errors.Is(err, feed.ErrUncertain)
 		pause := repeatTime
 		if err == nil {
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -57,18 +57,18 @@
 }
 
 // ask asks the scheduling entry, which may be this one.
-func (n *Node) ask(ctx context.Context, q job.Question) (job.Answer, error) {
+func (n *Node) ask(ctx context.Context, q job.Query) (job.Answer, error) {
 	leader := n.elector.Latest().Address
 	if leader == n.elector.Address {
 		return n.scheduler.Ask(ctx, q)
 	}
 	var a peerpb.JobAnswer
 	if err := n.converse(ctx, leader, &peerpb.Open{Kind: &peerpb.Open_Job{Job: &peerpb.JobQuery{Id: q.ID, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open}}}, &a); err != nil {
-		n.elector.Look()
+		n.elector.ReadNow()
 		return job.Answer{}, err
 	}
 	if !a.Known && !a.Certain {
-		n.elector.Look()
+		n.elector.ReadNow()
 		return job.Answer{}, fmt.Errorf("ask %s: %w", leader, pool.ErrNotLeading)
 	}
 	return job.Answer{Known: a.Known, Certain: a.Certain, State: job.State(a.State), Pending: int(a.Pending), Organisation: a.Organisation}, nil
@@ -76,7 +76,7 @@
 
 // serveStream answers another entry.
 func (n *Node) serveStream(ctx context.Context, from peer.Identity, open *peerpb.Open, s *peer.Stream) {
-	if n.peers.heard(from.Entry, n.mesh.Up) {
+	if n.peers.heard(from.Entry, n.mesh.ConnectedPeers) {
 		n.linkPeers()
 	}
 	var answer proto.Message
@@ -94,7 +94,7 @@
 }
 
 func (n *Node) answerQuery(ctx context.Context, q *peerpb.JobQuery) *peerpb.JobAnswer {
-	a, err := n.scheduler.Ask(ctx, job.Question{ID: q.Id, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open})
+	a, err := n.scheduler.Ask(ctx, job.Query{ID: q.Id, Queue: q.Queue, Organisation: q.Organisation, Open: q.Open})
 	if err != nil {
 		return &peerpb.JobAnswer{} // neither known nor certain
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -28,7 +28,7 @@
 	self      fleet.Entry
 	listeners listeners
 	mesh      *peer.Mesh
-	book      *claim.Book
+	book      *claim.Registry
 	server    *serve.Server
 	control   *control.Controller
 	admin     *admin.Server
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -66,7 +66,7 @@
 	last := ""
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		_, last = w.d.call(node, http.MethodGet, id, nil)
-		if last == `{"State":"succeeded"}` || (last == `{"State":"failed"}` && w.d.platform.LivesEndedUnder(id) >= job.LostProved) {
+		if last == `{"State":"succeeded"}` || (last == `{"State":"failed"}` && w.d.platform.LivesEndedUnder(id) >= job.LossLimitConclusive) {
 			return
 		}
 	}
--- a/entry/node.go
+++ b/entry/node.go
@@ -166,12 +166,12 @@
 	store := platform.NewStore(s, n.Dial)
 	store.Relay, store.Traffic = n.relay, &n.traffic
 	n.store = store
-	workers := &platform.Workers{Dial: n.Dial, Traffic: &n.traffic, Connections: workerConnections(s)}
+	workers := &platform.Workers{Dial: n.Dial, Traffic: &n.traffic, MaxConnections: workerConnections(s)}
 	machines := platform.NewMachines(s, n.Dial)
 	machines.Traffic = &n.traffic
 	intakes := make([]feed.Topic, max(1, min(intakeParts, s.Store.Partitions)))
 	for i := range intakes {
-		intakes[i] = store.Own(intakeTopic, i)
+		intakes[i] = store.ProductTopic(intakeTopic, i)
 	}
 	n.mesh = &peer.Mesh{
 		Self: peer.Identity{Entry: peers.Addr().String(), DataCentre: s.DataCentre, Boot: n.boot}, Secret: []byte(linkSecret),
@@ -182,11 +182,11 @@
 	}
 	n.scheduler = &pool.Scheduler{
 		Clock: n.Clock,
-		Entry: s.Entry, Intake: intakes, State: store.Own(stateTopic, 0), Workers: store.Workers(),
+		Entry: s.Entry, Intake: intakes, State: store.ProductTopic(stateTopic, 0), Workers: store.WorkersTopic(),
 		ParseWorker: platform.ParseWorker, Calls: workers.Calls(), Machines: machines.Calls(),
-		PutWave: platform.PutWave(store.Status()), Events: n.Events,
-		BatchMost:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
-		RecordMost: s.Store.MaxRecordBytes,
+		PutWave: platform.WaveStatusWriter(store.StatusTopic()), Events: n.Events,
+		MaxBatchBytes:  s.Store.MaxCallBytes / 2, // far under what the store takes in one call
+		MaxRecordBytes: s.Store.MaxRecordBytes,
 		Processor:  s.Limits.Share * max(s.Limits.Cores, 1), LinkPerSecond: s.Limits.LinkMbps * bytesOfMbit,
 	}
 	n.scheduler.SetBounds(boundsOf(s))
@@ -198,29 +198,29 @@
 	}
 	n.elector = &lead.Elector{
 		Clock: n.Clock,
-		Entry: s.Entry, Address: peers.Addr().String(), Boot: n.boot, Topic: store.Own(leadTopic, 0), Events: n.Events,
-		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, Seen: n.followLeader,
-		May: func() bool { return n.ingress.Ready() },
+		Entry: s.Entry, Address: peers.Addr().String(), Boot: n.boot, Topic: store.ProductTopic(leadTopic, 0), Events: n.Events,
+		Weight: s.Limits.Share * max(s.Limits.Cores, 1), Serve: n.scheduler.Serve, OnRecord: n.followLeader,
+		Eligible: func() bool { return n.ingress.Ready() },
 	}
-	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.Lost, n.elector.HandOver
-	n.scheduler.SetLoose, n.scheduler.LooseKept, n.scheduler.SetEarlier = n.elector.SetLoose, n.elector.LooseKept, n.elector.SetEarlier
-	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[partOf(s.Entry, len(intakes))]}, Ask: n.ask, Events: n.Events}}
-	n.follower = &platform.Follower{Topic: store.Operator(), Events: n.Events, Clock: n.Clock, Within: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
+	n.scheduler.ConfirmedAt, n.scheduler.Lost, n.scheduler.HandOver = n.elector.ConfirmedAt, n.elector.StepDown, n.elector.HandOver
+	n.scheduler.AnnounceUnstoredOrders, n.scheduler.UnstoredOrdersAnnounced, n.scheduler.PublishEarlierLeaders = n.elector.SetUnstored, n.elector.UnstoredPublished, n.elector.SetPredecessors
+	n.ingress = &platform.Ingress{Intake: &intake.Intake{Writer: &intake.Writer{Clock: n.Clock, Topic: intakes[partOf(s.Entry, len(intakes))]}, Query: n.ask, Events: n.Events}}
+	n.follower = &platform.Follower{Topic: store.OperatorTopic(), Events: n.Events, Clock: n.Clock, ApplyDeadline: platform.Millis(s.Bounds.ApplyMillis), Wave: n.scheduler.SetWave, Drains: n.scheduler.SetDrains, Config: func(c *platform.Config) {
 		n.ingress.SetConfig(c)
 		n.scheduler.SetOrganisations(c.Organisations)
 		n.scheduler.SetCatalog(&c.Catalog)
 	}}
-	n.ingress.Age, n.ingress.Keyed = n.follower.Age, s.Keyed()
-	n.ingress.SetPatience(patienceOf(s.Bounds))
+	n.ingress.ConfigAge, n.ingress.RequireKeys = n.follower.Age, s.KeysRequired()
+	n.ingress.SetStalenessLimits(patienceOf(s.Bounds))
 }
 
 // patienceOf returns how long an entry that can't read the configuration goes by what it has.
-func patienceOf(b platform.Bounds) org.Patience {
+func patienceOf(b platform.Bounds) org.StalenessLimits {
 	apply := platform.Millis(b.ApplyMillis)
 	if apply == 0 {
-		return org.Patience{} // the deployment states no bound
+		return org.StalenessLimits{} // the deployment states no bound
 	}
-	return org.Patience{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
+	return org.StalenessLimits{Unknown: apply, Known: apply + platform.Millis(b.SkewMillis)}
 }
 
 // woke tells that the machine was suspended: all that was learned before proves nothing until it is learned again.
@@ -252,7 +252,7 @@
 }
 
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request) {
-	if !n.ingress.Ready() || n.elector.Silence() > unreadyAfter {
+	if !n.ingress.Ready() || n.elector.UnansweredFor() > unreadyAfter {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/entry/providers.go
+++ b/entry/providers.go
@@ -40,10 +40,10 @@
 	// Listen and Dial replace the network's; for tests on fake time.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error)
-	// Probe is called at each step of a request; a fault switch of tests.
-	Probe func(step serve.Step, after bool)
-	// Cut says that no bytes may pass to or from the peer; a fault switch of tests.
-	Cut func(entry string) bool
+	// OnStep is called at each step of a request; a fault switch of tests.
+	OnStep func(step serve.Step, after bool)
+	// Partitioned says that no bytes may pass to or from the peer; a fault switch of tests.
+	Partitioned func(entry string) bool
 }
 
 // logs are the two streams that entries keep in the platform's service.
@@ -126,7 +126,7 @@
 		}
 		*x.into = ln
 	}
-	server, err := s.TLS.Server()
+	server, err := s.TLS.ServerConfig()
 	if err != nil {
 		l.close()
 		return listeners{}, nil, err
@@ -138,36 +138,36 @@
 }
 
 func newMesh(s config.Settings, self fleet.Entry, l listeners, events *event.Ring, m meters, o Options) (*peer.Mesh, error) {
-	secret, err := s.Secret()
+	secret, err := s.LoadPeerSecret()
 	if err != nil {
 		return nil, err
 	}
-	links, err := s.TLS.Peers()
+	links, err := s.TLS.PeerConfig()
 	if err != nil {
 		return nil, err
 	}
 	return &peer.Mesh{
 		Self: peer.Identity{Entry: self.ID, DataCentre: self.DataCentre, Boot: self.Boot}, Secret: secret, TLS: links,
-		Listener: l.peer, Dial: o.Dial, Cut: o.Cut, Events: events, Meter: m.peers,
+		Listener: l.peer, Dial: o.Dial, Partitioned: o.Partitioned, Events: events, Meter: m.peers,
 	}, nil
 }
 
-func newBook(l logs, clock *feed.Clock) *claim.Book {
-	return &claim.Book{Append: l.claims.AppendOne, Clock: clock.Now}
+func newBook(l logs, clock *feed.Clock) *claim.Registry {
+	return &claim.Registry{Append: l.claims.AppendOne, Clock: clock.Now}
 }
 
 func newDispatcher(o Options) *serve.Dispatcher { return &serve.Dispatcher{Dial: o.Dial} }
 
-func newServer(s config.Settings, self fleet.Entry, book *claim.Book, mesh *peer.Mesh, d *serve.Dispatcher, events *event.Ring, m metrics, clock *feed.Clock, o Options) *serve.Server {
+func newServer(s config.Settings, self fleet.Entry, book *claim.Registry, mesh *peer.Mesh, d *serve.Dispatcher, events *event.Ring, m metrics, clock *feed.Clock, o Options) *serve.Server {
 	return &serve.Server{
 		Self: self.ID, DataCentre: self.DataCentre, Boot: self.Boot, Book: book, Mesh: mesh, Targets: d,
-		Events: events, Probe: o.Probe, Metrics: tally.Scope(m.scope), Clock: clock.Now, MaxBody: int64(s.MaxBody),
+		Events: events, OnStep: o.OnStep, Metrics: tally.Scope(m.scope), Clock: clock.Now, MaxBody: int64(s.MaxBody),
 	}
 }
 
-func newController(s config.Settings, self fleet.Entry, l logs, p *provider.Client, mesh *peer.Mesh, server *serve.Server, book *claim.Book, events *event.Ring, clock *feed.Clock, m meters) *control.Controller {
+func newController(s config.Settings, self fleet.Entry, l logs, p *provider.Client, mesh *peer.Mesh, server *serve.Server, book *claim.Registry, events *event.Ring, clock *feed.Clock, m meters) *control.Controller {
 	c := &control.Controller{
-		Self: self, Log: l.fleet, Claims: l.claims, Platform: p, Mesh: mesh, Server: server, Book: book, Events: events,
+		Self: self, FleetLog: l.fleet, ClaimsLog: l.claims, Platform: p, Mesh: mesh, Server: server, Registry: book, Events: events,
 		PeerMeter: m.peers, PlatformMeter: m.platform,
 		Costs: plan.Costs{Maintenance: s.Maintenance.Std()}, CheckpointEvery: s.CheckpointEvery.Std(), Clock: clock.Now,
 	}
@@ -182,8 +182,8 @@
 
 func newAdmin(s config.Settings, c *control.Controller, m metrics) *admin.Server {
 	return &admin.Server{
-		Bootstrap: s.BootstrapTokenHash, Metrics: m.handler, Publish: c.Publish, Read: c.Read, Status: c.Status,
-		Plan: func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error) {
+		BootstrapTokenHash: s.BootstrapTokenHash, Metrics: m.handler, Publish: c.Publish, ReadTables: c.Read, Status: c.Status,
+		MakePlan: func(t *fleet.Tables, id string, intent fleet.Intent) (fleet.Plan, error) {
 			return plan.Make(t, id, intent, c.Costs)
 		},
 		TimeLine: c.TimeLine,
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -106,8 +106,8 @@
 // followLeader keeps a link to the entry that schedules.
 func (n *Node) followLeader(lead.Record) { n.linkPeers() }
 
-// Leads says whether this entry scheduled when it last proved it to the store.
-func (n *Node) Leads() bool { return n.elector != nil && n.elector.Confirmed() }
+// IsLeader says whether this entry scheduled when it last proved it to the store.
+func (n *Node) IsLeader() bool { return n.elector != nil && n.elector.Confirmed() }
 
 // linkPeers keeps links to the leader, the seeds and those that were heard of.
 func (n *Node) linkPeers() {
@@ -141,17 +141,17 @@
 }
 
 // relay has a peer make a call to the store; the error is platform.ErrRelayUnsent or platform.ErrRelayLost.
-func (n *Node) relay(ctx context.Context, c platform.StoreCall) (platform.StoreReply, error) {
+func (n *Node) relay(ctx context.Context, c platform.StoreRequest) (platform.StoreResponse, error) {
 	left := relayPatience
 	if d, ok := ctx.Deadline(); ok {
 		left = time.Until(d) - relayMargin
 	}
 	open := &peerpb.Open{Kind: &peerpb.Open_Store{Store: &peerpb.StoreCall{Method: c.Method, Uri: c.URI, Body: c.Body, RemainingMs: left.Milliseconds()}}}
-	up := n.mesh.Up()
+	up := n.mesh.ConnectedPeers()
 	addresses := n.peerAddresses()
 	n.peers.order(addresses)
 	tries := 0
-	last := platform.StoreReply{}
+	last := platform.StoreResponse{}
 	for _, address := range addresses {
 		if !slices.Contains(up, address) || tries == relayTries {
 			continue
@@ -162,27 +162,27 @@
 		switch {
 		case errors.Is(err, errBroken), err == nil && a.Status == 0 && !a.Unsent:
 			n.peers.setBad(address)
-			return last, platform.ErrRelayLost
-		case err == nil && a.Status != 0 && !platform.TurnsAway(int(a.Status)):
+			return last, platform.ErrRelayNoResponse
+		case err == nil && a.Status != 0 && !platform.RejectsEntry(int(a.Status)):
 			n.peers.setGood(address)
-			return platform.StoreReply{Status: int(a.Status), Body: a.Body}, nil
+			return platform.StoreResponse{Status: int(a.Status), Body: a.Body}, nil
 		case err == nil && a.Status != 0:
-			last = platform.StoreReply{Status: int(a.Status), Body: a.Body}
+			last = platform.StoreResponse{Status: int(a.Status), Body: a.Body}
 		}
 	}
 	if last.Status != 0 {
 		return last, nil
 	}
-	return last, platform.ErrRelayUnsent
+	return last, platform.ErrRelayNotSent
 }
 
 // answerStore makes a call to the store for another entry.
 func (n *Node) answerStore(ctx context.Context, c *peerpb.StoreCall) *peerpb.StoreAnswer {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(c.RemainingMs)*time.Millisecond)
 	defer cancel()
-	reply, err := n.store.Direct(ctx, platform.StoreCall{Method: c.Method, URI: c.Uri, Body: c.Body})
+	reply, err := n.store.ServeRelayed(ctx, platform.StoreRequest{Method: c.Method, URI: c.Uri, Body: c.Body})
 	if err != nil {
-		return &peerpb.StoreAnswer{Unsent: errors.Is(err, platform.ErrRelayUnsent)}
+		return &peerpb.StoreAnswer{Unsent: errors.Is(err, platform.ErrRelayNotSent)}
 	}
 	return &peerpb.StoreAnswer{Status: int32(reply.Status), Body: reply.Body}
 }
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -72,7 +72,7 @@
 	}
 	restart := s.Listen != n.Settings.Listen || s.Store.Address != n.Settings.Store.Address || s.Machines.Address != n.Settings.Machines.Address
 	n.scheduler.SetBounds(boundsOf(s))
-	n.ingress.SetPatience(patienceOf(s.Bounds))
+	n.ingress.SetStalenessLimits(patienceOf(s.Bounds))
 	n.Events.Emit(event.SettingsReloaded, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("bounds in force; addresses changed, which needs a restart: %t", restart))
 }
 
@@ -81,7 +81,7 @@
 	return pool.Bounds{
 		Lease: platform.Millis(s.Bounds.LeaseMillis), Stop: platform.Millis(s.Bounds.StopMillis),
 		Status: platform.Seconds(s.Bounds.StatusSeconds), Upkeep: platform.Seconds(s.Bounds.UpkeepSeconds),
-		Move: platform.Seconds(s.Bounds.MoveSeconds), Notice: platform.Millis(s.Bounds.NoticeMillis),
-		Harm: platform.Millis(s.Bounds.HarmMillis),
+		Move: platform.Seconds(s.Bounds.MoveSeconds), MaxAbsence: platform.Millis(s.Bounds.NoticeMillis),
+		MaxOverTarget: platform.Millis(s.Bounds.HarmMillis),
 	}
 }
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -78,14 +78,14 @@
 	startEntry(c, "b", platform.URL, files, peer)
 	startEntry(c, "stranger", platform.URL, newAuthority(c), peer)
 
-	pool, err := config.Authority(files.Authority)
+	pool, err := config.LoadAuthority(files.Authority)
 	c.Assert(err, quicktest.IsNil)
 	trusting := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
 	api := &admin.Client{Address: first.Self().OperatorAddress, Token: "boot", TLS: true, HTTP: trusting}
 	conf := fleet.Configuration{
 		DataCentres: []fleet.DataCentre{{Name: "a"}}, Operators: []fleet.Operator{{Name: "o", TokenHash: serve.TokenHash("op")}},
 	}
-	_, err = api.Apply(context.Background(), admin.Apply{Configuration: conf})
+	_, err = api.Apply(context.Background(), admin.ApplyRequest{Configuration: conf})
 	c.Assert(err, quicktest.IsNil)
 	api.Token = "op"
 	for { // the link of b and a comes up; the stranger's never does
--- a/entry/traffic.go
+++ b/entry/traffic.go
@@ -34,7 +34,7 @@
 }
 
 func (n *Node) tellUses() {
-	uses := n.traffic.Take()
+	uses := n.traffic.Reset()
 	share := n.linkShare(float64(uses.Bytes()) / trafficEvery.Seconds())
 	if n.metrics.scope != nil {
 		for kind, u := range uses {
@@ -44,7 +44,7 @@
 		}
 		n.metrics.scope.Gauge("link_share").Update(share)
 	}
-	if n.Leads() || share > trafficShare {
+	if n.IsLeader() || share > trafficShare {
 		n.Events.Emit(event.LinkUsed, event.Subject{Entry: n.Settings.Entry}, fmt.Sprintf("share=%.2f over=%v calls/sent/received: %v", share, trafficEvery, uses))
 	}
 }
--- a/event/catalogue.go
+++ b/event/catalogue.go
@@ -61,7 +61,7 @@
 	JobTaken             Number = 810
 	JobRefused           Number = 811
 	JobInDoubt           Number = 812
-	JobAnswered          Number = 813
+	JobUnanswered          Number = 813
 	JobRead              Number = 814
 	JobEnded             Number = 815
 	TablesRead           Number = 816
@@ -73,7 +73,7 @@
 	RunUnanswered        Number = 822
 	RunEnded             Number = 823
 	RunAdopted           Number = 824
-	RunStopped           Number = 825
+	StopOrdered           Number = 825
 	RunMissing           Number = 826
 	RunPaced             Number = 827
 	RunLost              Number = 828
@@ -84,7 +84,7 @@
 	UpkeepBegun          Number = 840
 	UpkeepRefused        Number = 841
 	WaveChanged          Number = 842
-	MachineMoved         Number = 843
+	InstanceMoved         Number = 843
 	DrainChanged         Number = 844
 	PoolSized            Number = 845
 	ModeBegun            Number = 850
@@ -157,7 +157,7 @@
 	{JobTaken, "job-taken", "A client's job was written to the store and accepted.", nothing},
 	{JobRefused, "job-refused", "A client's job was refused and will not run; the text says why.", "If there are many, see docs/OPERATIONS.md."},
 	{JobInDoubt, "job-in-doubt", "The store gave no answer to a job or a cancel; the client was told that the outcome is unknown.", "See docs/OPERATIONS.md."},
-	{JobAnswered, "job-unanswered", "A question about a job could not be answered; the text says why.", nothing},
+	{JobUnanswered, "job-unanswered", "A question about a job could not be answered; the text says why.", nothing},
 	{JobRead, "job-read", "The scheduling entry has read a job or a cancel from the store.", nothing},
 	{JobEnded, "job-ended", "A job has reached its final state.", nothing},
 	{TablesRead, "tables-read", "A new leader has read the jobs and what was kept of them from the store.", nothing},
@@ -169,7 +169,7 @@
 	{RunUnanswered, "run-unanswered", "A worker gave no answer to an order; what it lists decides.", nothing},
 	{RunEnded, "run-ended", "A worker has listed the end of a run.", nothing},
 	{RunAdopted, "run-adopted", "A run of an earlier leader goes on under this one.", nothing},
-	{RunStopped, "stop-ordered", "A worker was told to stop a run; the text says why.", nothing},
+	{StopOrdered, "stop-ordered", "A worker was told to stop a run; the text says why.", nothing},
 	{RunMissing, "run-missing", "A worker no longer lists a run and tells no end; its task starts again.", nothing},
 	{RunPaced, "run-paced", "A filling run is to work at another share, for the serving tasks beside it.", nothing},
 	{RunLost, "run-lost", "A worker's life ended while a run was or may have been there; the text says how long after its order, beside how many others, and how old the newest of them was.", "If it is the same task again and again, correct its job."},
@@ -180,7 +180,7 @@
 	{UpkeepBegun, "upkeep-begun", "A worker's instance was taken down for its upkeep.", nothing},
 	{UpkeepRefused, "upkeep-refused", "The machine interface refused an upkeep or a move, or gave no answer.", nothing},
 	{WaveChanged, "wave-changed", "A wave of upkeep was read, or its state was written.", nothing},
-	{MachineMoved, "instance-moved", "An instance was moved to another pool.", nothing},
+	{InstanceMoved, "instance-moved", "An instance was moved to another pool.", nothing},
 	{PoolSized, "pool-sized", "What a pool wants and keeps has changed; the text has the load that decided it, in instances.", nothing},
 	{DrainChanged, "drain-changed", "A data centre was drained, so that its instances get no work, or that was taken back; the text says what is left there and what holds it.", "If it does not become empty, see docs/operations/maintenance.md."},
 	{ModeBegun, "mode-begun", "The leader has begun to work in a degraded mode; the text names it and why.", "If it lasts, see docs/OPERATIONS.md."},
--- a/event/event_test.go
+++ b/event/event_test.go
@@ -44,6 +44,6 @@
 func TestTheTimeLineFollowsOffsetsAndNotClocks(t *testing.T) {
 	c := quicktest.New(t)
 	events := []Event{{Entry: "b", Offset: 2}, {Entry: "a", Offset: 2, Sequence: 9}, {Entry: "a", Offset: 2, Sequence: 8}, {Entry: "c", Offset: 1}}
-	Order(events)
+	SortTimeLine(events)
 	c.Assert(events, quicktest.DeepEquals, []Event{{Entry: "c", Offset: 1}, {Entry: "a", Offset: 2, Sequence: 8}, {Entry: "a", Offset: 2, Sequence: 9}, {Entry: "b", Offset: 2}})
 }
--- a/event/ring.go
+++ b/event/ring.go
@@ -116,8 +116,8 @@
 	return out
 }
 
-// Order sorts the events of several entries into one time line.
-func Order(events []Event) {
+// SortTimeLine sorts the events of several entries into one time line.
+func SortTimeLine(events []Event) {
 	slices.SortStableFunc(events, func(a, b Event) int {
 		return cmp.Or(cmp.Compare(a.Offset, b.Offset), cmp.Compare(a.Entry, b.Entry), cmp.Compare(a.Sequence, b.Sequence))
 	})
--- a/feed/reader.go
+++ b/feed/reader.go
@@ -17,12 +17,12 @@
 	Wait time.Duration
 	// Backoff is the pause after a failed read; 200ms when 0.
 	Backoff time.Duration
-	// Page is called with each page that was read, in order; it returns the next offset wanted.
-	Page func(ctx context.Context, p Page) (next int64, err error)
-	// Trimmed is called when the log no longer keeps Next; it returns where to go on.
-	Trimmed func(ctx context.Context, first int64) (next int64, err error)
-	// Failed is called after each failed read; it returns where to go on.
-	Failed func(ctx context.Context, next int64, err error) int64
+	// OnPage is called with each page that was read, in order; it returns the next offset wanted.
+	OnPage func(ctx context.Context, p Page) (next int64, err error)
+	// OnTrimmed is called when the log no longer keeps Next; it returns where to go on.
+	OnTrimmed func(ctx context.Context, first int64) (next int64, err error)
+	// OnError is called after each failed read; it returns where to go on.
+	OnError func(ctx context.Context, next int64, err error) int64
 
 	// atEnd says that the reader has been at the end of the log; before that it never waits.
 	atEnd bool
@@ -32,7 +32,7 @@
 func (r *Reader) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := r.once(ctx); err != nil {
-			r.Next = r.Failed(ctx, r.Next, err)
+			r.Next = r.OnError(ctx, r.Next, err)
 			pause(ctx, orElse(r.Backoff, 200*time.Millisecond))
 		}
 	}
@@ -47,7 +47,7 @@
 	page, err := r.Log.Read(ctx, r.Next, wait)
 	var trimmed *TrimmedError
 	if errors.As(err, &trimmed) {
-		next, err := r.Trimmed(ctx, trimmed.First)
+		next, err := r.OnTrimmed(ctx, trimmed.First)
 		if err == nil {
 			r.Next = next
 		}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	next, err := r.Page(ctx, page)
+	next, err := r.OnPage(ctx, page)
 	if err != nil {
 		return err
 	}
--- a/feed/topic.go
+++ b/feed/topic.go
@@ -27,8 +27,8 @@
 // Batch is what one append adds, all or nothing.
 type Batch struct {
 	Records []KeyedRecord
-	// At is the offset at which the topic must end for the append to happen; any when negative.
-	At int64
+	// ExpectedEnd is the offset at which the topic must end for the append to happen; any when negative.
+	ExpectedEnd int64
 	Writer
 }
 
@@ -76,13 +76,13 @@
 
 // RefusedError says that the store will never take these records as they are; nothing was appended.
 type RefusedError struct {
-	// Answer is the store's own word.
-	Answer string
+	// Message is the store's own word.
+	Message string
 }
 
 // Error returns the store's word and the remedy.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("the store refuses the records themselves (%s); change them, the same again is refused again", e.Answer)
+	return fmt.Sprintf("the store refuses the records themselves (%s); change them, the same again is refused again", e.Message)
 }
 
 // SequenceError says that a batch's sequence number does not follow the last; nothing was appended.
--- a/fleet/budget.go
+++ b/fleet/budget.go
@@ -56,8 +56,8 @@
 	return min(s.Total, s.PerDataCentre[dataCentre])
 }
 
-// Least returns the smallest spare of any data centre.
-func (s Spare) Least() int {
+// Min returns the smallest spare of any data centre.
+func (s Spare) Min() int {
 	least := s.Total
 	for _, n := range s.PerDataCentre {
 		least = min(least, n)
--- a/fleet/fold_test.go
+++ b/fleet/fold_test.go
@@ -99,7 +99,7 @@
 	}
 	if a := r.Advance; a != nil && a.To == StepDraining {
 		for _, b := range o.t.Configuration.Budgets() {
-			if left := o.t.Spare(b).Least(); left < 0 && left < spareBefore[b.Name] {
+			if left := o.t.Spare(b).Min(); left < 0 && left < spareBefore[b.Name] {
 				t.Fatalf("a take-out left the budget of %s at %d", b.Name, left)
 			}
 		}
@@ -175,7 +175,7 @@
 func (o *oracle) spare() map[string]int {
 	spare := make(map[string]int)
 	for _, b := range o.t.Configuration.Budgets() {
-		spare[b.Name] = o.t.Spare(b).Least()
+		spare[b.Name] = o.t.Spare(b).Min()
 	}
 	return spare
 }
--- a/fleet/organisations.go
+++ b/fleet/organisations.go
@@ -51,5 +51,5 @@
 	}
 	held, _ := t.teams.Held(team.Name)
 	o := team.Organisation()
-	return o.Covers(job.Need{MilliCPU: held.MilliCPU + cores*milliCores})
+	return o.WithinCap(job.Need{MilliCPU: held.MilliCPU + cores*milliCores})
 }
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -31,9 +31,9 @@
 	}
 	t.onInstance[j.Instance] = t.onInstance[j.Instance].add(j.Charged(), n)
 	if n > 0 {
-		t.teams.Take(j.Team, j.Charged().need())
+		t.teams.Acquire(j.Team, j.Charged().need())
 	} else {
-		t.teams.Return(j.Team, j.Charged().need())
+		t.teams.Release(j.Team, j.Charged().need())
 	}
 }
 
--- a/intake/owner_test.go
+++ b/intake/owner_test.go
@@ -18,18 +18,18 @@
 	c := quicktest.New(t)
 	var written []string
 	i := &Intake{
-		Ask: func(context.Context, job.Question) (job.Answer, error) { return job.Answer{}, errors.New("no leader") },
+		Query: func(context.Context, job.Query) (job.Answer, error) { return job.Answer{}, errors.New("no leader") },
 		Writer: &Writer{Topic: feed.Topic{Append: func(_ context.Context, b feed.Batch) (int64, error) {
 			written = append(written, b.Records[0].Key)
 			return 1, nil
 		}}},
 	}
 	for _, id := range [...]string{"a/00000000000000a1", "", "00000000000000a", "00000000000000g1", "../00000000000000a1"} {
-		c.Check(i.Cancel(context.Background(), job.Question{ID: id}), quicktest.Equals, ErrUnknown, quicktest.Commentf("%q", id))
-		_, err := i.State(context.Background(), job.Question{ID: id})
-		c.Check(err, quicktest.Equals, ErrUnknown)
+		c.Check(i.Cancel(context.Background(), job.Query{ID: id}), quicktest.Equals, ErrNotFound, quicktest.Commentf("%q", id))
+		_, err := i.State(context.Background(), job.Query{ID: id})
+		c.Check(err, quicktest.Equals, ErrNotFound)
 	}
 	c.Assert(written, quicktest.HasLen, 0)
-	c.Assert(i.Cancel(context.Background(), job.Question{ID: "00000000000000a1", Organisation: "b"}), quicktest.IsNil)
+	c.Assert(i.Cancel(context.Background(), job.Query{ID: "00000000000000a1", Organisation: "b"}), quicktest.IsNil)
 	c.Assert(written, quicktest.DeepEquals, []string{"c/b/00000000000000a1"})
 }
--- a/intake/writer.go
+++ b/intake/writer.go
@@ -182,7 +182,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	end, err := w.Topic.Append(ctx, feed.Batch{Records: records, At: -1})
+	end, err := w.Topic.Append(ctx, feed.Batch{Records: records, ExpectedEnd: -1})
 	if err != nil {
 		return fmt.Errorf("append: %w", err)
 	}
--- a/intake/writer_test.go
+++ b/intake/writer_test.go
@@ -208,7 +208,7 @@
 			time.Sleep(5 * time.Millisecond)
 			for _, r := range b.Records {
 				if r.Key == "3" {
-					return 0, &feed.RefusedError{Answer: "status 400"}
+					return 0, &feed.RefusedError{Message: "status 400"}
 				}
 			}
 			for _, r := range b.Records {
--- a/internal/drive/usage.go
+++ b/internal/drive/usage.go
@@ -49,7 +49,7 @@
 		r.res.Overload += (1 - rate) * tick.Seconds()
 		rate *= w.takes(j) / w.uses
 		w.left -= time.Duration(rate * float64(tick))
-		w.seen = place.Seen{Cores: rate * w.uses, MemoryMB: j.Spec.MemoryMB, Ran: r.now.Sub(w.since) - usageLag}
+		w.seen = place.Usage{Cores: rate * w.uses, MemoryMB: j.Spec.MemoryMB, Ran: r.now.Sub(w.since) - usageLag}
 		r.res.Lost += (1 - rate) * tick.Seconds()
 		r.res.Ran += tick.Seconds()
 	}
--- a/internal/drive/wave.go
+++ b/internal/drive/wave.go
@@ -91,7 +91,7 @@
 type work struct {
 	left    time.Duration // of its true run time
 	uses    float64       // the cores that it takes when nothing holds it back
-	seen    place.Seen    // what the platform reports
+	seen    place.Usage   // what the platform reports
 	since   time.Time     // of the current attempt
 	leaving time.Time     // when its checkpoint is complete; zero when it stays
 	first   bool          // it has been on its first worker since before the wave
@@ -173,7 +173,7 @@
 }
 
 func (r *run) place() {
-	d := place.Decide(r.t, place.Options{FirstFit: r.policy.Baseline, Until: r.until(), Margin: r.margin()})
+	d := place.Decide(r.t, place.Options{FirstFit: r.policy.Baseline, UntilDrain: r.until(), Margin: r.margin()})
 	for _, s := range d.Starts {
 		if r.apply(fleet.Record{Start: &s}) {
 			r.apply(fleet.Record{Settle: &fleet.Settle{Job: s.Job, Attempt: s.Attempt, Outcome: fleet.OutcomeRunning}})
@@ -194,7 +194,7 @@
 	if r.policy.Baseline {
 		return nil
 	}
-	return plan.Turns(r.t, r.costs())
+	return plan.TimeToTakeOut(r.t, r.costs())
 }
 
 func (r *run) costs() plan.Costs { return plan.Costs{Maintenance: r.size.Maintenance} }
@@ -319,7 +319,7 @@
 
 // displace has the jobs on draining instances leave, unless they are about to end.
 func (r *run) displace() {
-	patience := r.costs().Wait(r.size.Weights)
+	patience := r.costs().JobWait(r.size.Weights)
 	if r.policy.Baseline {
 		patience = 0
 	}
@@ -328,7 +328,7 @@
 		if w == nil || j.State != fleet.JobRunning || !w.leaving.IsZero() || r.t.Instances.Get(j.Instance).State != fleet.InstanceDraining {
 			continue
 		}
-		if plan.Leaves(j, r.now.Sub(w.since), patience) {
+		if plan.ShouldMove(j, r.now.Sub(w.since), patience) {
 			w.leaving = r.now.Add(checkpointTime)
 		}
 	}
@@ -342,7 +342,7 @@
 			done, asked := r.cmds[id]
 			switch {
 			case !asked:
-				return plan.CommandUnasked
+				return plan.CommandNotQueried
 			case r.now.Before(done):
 				return plan.CommandRunning
 			}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -380,7 +380,7 @@
 		}
 		ask := func() (int, string) { return s.request(h, n%entries, keyForJob(id), http.MethodGet, id, "") }
 		for status, last := ask(); !strings.Contains(last, want); status, last = ask() {
-			if strings.Contains(last, `"failed"`) && s.platform.LivesEndedUnder(id) >= job.LostProved {
+			if strings.Contains(last, `"failed"`) && s.platform.IncarnationsEndedUnder(id) >= job.LossLimitConclusive {
 				s.c.Logf("seed %d: job %s failed because workers crashed under it that also ran a crashing task", seed, id)
 				break
 			}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -56,7 +56,7 @@
 
 // machine is one listed instance.
 type machine struct {
-	row  provider.Listed
+	row  provider.Instance
 	down bool
 	// commanded is set while the machine is down because of a command.
 	commanded bool
@@ -68,7 +68,7 @@
 // snapshot is the instance list as of a time.
 type snapshot struct {
 	at   time.Time
-	rows []provider.Listed
+	rows []provider.Instance
 	// tag is the list's entity tag.
 	tag string
 }
@@ -100,7 +100,7 @@
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
 // Put adds the instance to the list or replaces its row; target may be nil.
-func (p *Platform) Put(row provider.Listed, target *Target) {
+func (p *Platform) Put(row provider.Instance, target *Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.machines[row.ID]
@@ -153,7 +153,7 @@
 // takeSnapshot adds the current list to the history, from which ListLag serves older ones; the caller holds mu.
 func (p *Platform) takeSnapshot() {
 	now := time.Now()
-	var rows []provider.Listed
+	var rows []provider.Instance
 	for _, m := range p.machines {
 		if !m.down {
 			rows = append(rows, m.row)
@@ -185,7 +185,7 @@
 		return
 	}
 	asOf := time.Now().Add(-p.faults.ListLag)
-	rows, tag := []provider.Listed{}, `"none"`
+	rows, tag := []provider.Instance{}, `"none"`
 	for _, s := range p.history {
 		if !s.at.After(asOf) {
 			rows, tag = s.rows, s.tag
@@ -197,7 +197,7 @@
 		return
 	}
 	list := struct {
-		Instances []provider.Listed `json:"instances"`
+		Instances []provider.Instance `json:"instances"`
 	}{rows}
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		reply(w, list)
@@ -211,7 +211,7 @@
 }
 
 func (p *Platform) putInstance(w http.ResponseWriter, r *http.Request) {
-	var row provider.Listed
+	var row provider.Instance
 	if err := json.NewDecoder(r.Body).Decode(&row); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/internal/standin/platformtest/platform.go
+++ b/internal/standin/platformtest/platform.go
@@ -59,7 +59,7 @@
 	// TaskDuration returns how long a task runs, 0 for one that doesn't end by itself; one second when nil.
 	Takes func(task string) time.Duration
 	// RunFails reports whether a run that has ended by itself has failed; none has when nil.
-	Fails func(task, life string) bool
+	Fails func(task, incarnation string) bool
 	// CrashDelay returns the time from the start of a task until it crashes its worker, 0 for a task that doesn't; none does when nil. The instance
 	// restarts after crashRecoveryDelay and maintenanceTime.
 	Crashes func(task string) time.Duration
@@ -197,7 +197,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.workers {
-		if w.Address == address && w.Life != "" {
+		if w.Address == address && w.Incarnation != "" {
 			return w
 		}
 	}
@@ -270,19 +270,19 @@
 	p.mu.Lock()
 	p.workerCount++
 	w := &Worker{
-		Life: fmt.Sprintf("i-%04d", p.workerCount), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.workerCount/250, p.workerCount%250+1)),
+		Incarnation: fmt.Sprintf("i-%04d", p.workerCount), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.workerCount/250, p.workerCount%250+1)),
 		MilliCPU: milliCPU, MemoryMB: memoryMB, platform: p, startedAt: time.Now(), ended: make(chan struct{}), stopped: make(map[string]int64),
 	}
 	if p.Reborn {
-		w.Birth = time.Now().UnixMilli() - int64(p.workerCount)*time.Hour.Milliseconds()
+		w.BootID = time.Now().UnixMilli() - int64(p.workerCount)*time.Hour.Milliseconds()
 	}
 	if before != nil {
-		w.Life, w.Address = before.Life, before.Address
+		w.Incarnation, w.Address = before.Incarnation, before.Address
 	}
 	p.workers[machine] = w
 	off := pool == p.Off
 	if off {
-		w.Life, w.dead = "", true
+		w.Incarnation, w.dead = "", true
 	}
 	p.mu.Unlock()
 	if off {
@@ -314,7 +314,7 @@
 
 // MaxWorkersLost returns the maximum, over the tasks of a job, of the number of workers that crashed while they ran the task, by the workers' own
 // history. From two on, the users' rules let the job fail, because a task that runs beside a crashing one can't be told from it.
-func (p *Platform) LivesEndedUnder(job string) int {
+func (p *Platform) IncarnationsEndedUnder(job string) int {
 	most, lost := 0, make(map[string]int)
 	for _, x := range p.Runs() {
 		if strings.HasPrefix(x.Task, job+".") && x.How == "lost" {
@@ -353,7 +353,7 @@
 	}
 	w.addIncarnation(entry)
 	b, _ := json.Marshal(entry)
-	p.Store.Put("keyed.servers", w.Life, b)
+	p.Store.Put("keyed.servers", w.Incarnation, b)
 }
 
 // sortedWorkers returns the workers ordered by ID; the caller holds mu.
@@ -362,7 +362,7 @@
 	for _, w := range p.workers {
 		out = append(out, w)
 	}
-	slices.SortFunc(out, func(a, b *Worker) int { return strings.Compare(a.Life, b.Life) })
+	slices.SortFunc(out, func(a, b *Worker) int { return strings.Compare(a.Incarnation, b.Incarnation) })
 	return out
 }
 
@@ -434,7 +434,7 @@
 		if p.down[x.Machine] {
 			state = "upkeep"
 		}
-		rows = append(rows, map[string]any{"Machine": x.Machine, "Pool": x.Pool, "Zone": p.Zone(x.Machine), "State": state, "Id": x.Life})
+		rows = append(rows, map[string]any{"Machine": x.Machine, "Pool": x.Pool, "Zone": p.Zone(x.Machine), "State": state, "Id": x.Incarnation})
 	}
 	p.mu.Unlock()
 	reply(w, http.StatusOK, map[string]any{"Machines": rows, "NextToken": nil})
@@ -459,7 +459,7 @@
 	if p.Reborn && crashed {
 		p.addWorker(x, x.Machine, pool, x.MilliCPU, x.MemoryMB)
 	} else {
-		p.Store.Put("keyed.servers", x.Life, nil)
+		p.Store.Put("keyed.servers", x.Incarnation, nil)
 		p.AddWorker(x.Machine, pool, x.MilliCPU, x.MemoryMB)
 	}
 	p.mu.Lock()
@@ -468,11 +468,11 @@
 }
 
 // MachineOf returns the instance of the worker with the ID, empty when there is none at present.
-func (p *Platform) MachineOf(life string) string {
+func (p *Platform) MachineOf(incarnation string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for machine, w := range p.workers {
-		if w.Life == life {
+		if w.Incarnation == incarnation {
 			return machine
 		}
 	}
@@ -529,7 +529,7 @@
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
 				if b.From.Before(a.To) || a.To.IsZero() {
-					violations = append(violations, fmt.Sprintf("%s: run %d on %s started while run %d on %s was running", task, b.Number, b.Life, a.Number, a.Life))
+					violations = append(violations, fmt.Sprintf("%s: run %d on %s started while run %d on %s was running", task, b.Number, b.Incarnation, a.Number, a.Incarnation))
 				}
 				if a.How == "done" && a.Acked && b.From.After(a.AckedAt) {
 					violations = append(violations, fmt.Sprintf("%s: run %d started after run %d was done and acknowledged", task, b.Number, a.Number))
--- a/internal/standin/platformtest/worker.go
+++ b/internal/standin/platformtest/worker.go
@@ -12,9 +12,9 @@
 
 // Run is a run of a task in the history.
 type Run struct {
-	Task   string
-	Number int64
-	Life   string
+	Task        string
+	Number      int64
+	Incarnation string
 	// Zone is the data centre of its instance.
 	Zone string
 	From time.Time
@@ -35,10 +35,10 @@
 
 // Worker is a worker from its start to its end. A restart makes a new Worker.
 type Worker struct {
-	Life, Machine, Pool, Address string
-	MilliCPU, MemoryMB           int
+	Incarnation, Machine, Pool, Address string
+	MilliCPU, MemoryMB                  int
 	// Incarnation distinguishes workers with the same ID; 0 when none is reported.
-	Birth    int64
+	BootID   int64
 	platform *Platform
 	server   *http.Server
 
@@ -84,7 +84,7 @@
 	switch {
 	case w.dead && w.platform.Reborn:
 		panic(http.ErrAbortHandler) // closes the connection
-	case w.dead || r.Header.Get("X-Expect-Instance") != w.Life:
+	case w.dead || r.Header.Get("X-Expect-Instance") != w.Incarnation:
 		reply(rw, http.StatusMisdirectedRequest, nil)
 		return
 	case req.Fence < w.fence:
@@ -142,7 +142,7 @@
 		refuse("old")
 		return
 	}
-	x := &Run{Task: task, Number: number, Life: w.Life, Zone: w.platform.Zone(w.Machine), From: time.Now(), checkpoint: saved, pace: 100}
+	x := &Run{Task: task, Number: number, Incarnation: w.Incarnation, Zone: w.platform.Zone(w.Machine), From: time.Now(), checkpoint: saved, pace: 100}
 	w.runs = append(w.runs, x)
 	w.platform.recordRun(x)
 	if w.platform.Crashes != nil && w.platform.Crashes(task) > 0 {
@@ -152,7 +152,7 @@
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			outcome := "done"
-			if w.platform.Fails != nil && w.platform.Fails(task, w.Life) {
+			if w.platform.Fails != nil && w.platform.Fails(task, w.Incarnation) {
 				outcome = "failed"
 			}
 			w.endRun(x, outcome)
@@ -238,8 +238,8 @@
 
 // addIncarnation adds the incarnation to a report of the worker.
 func (w *Worker) addIncarnation(report map[string]any) {
-	if w.Birth != 0 {
-		report["born"] = w.Birth
+	if w.BootID != 0 {
+		report["born"] = w.BootID
 	}
 }
 
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -196,7 +196,7 @@
 // usageAfter returns the usage of a task that has run for the duration.
 func (t *task) usageAfter(ran time.Duration) *provider.Usage {
 	u := t.demand
-	u.Ran = ran
+	u.RunTime = ran
 	if t.coreLimit > 0 {
 		u.Cores = min(u.Cores, float64(t.coreLimit))
 	}
--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -176,7 +176,7 @@
 	op := c.site.Operator(OperatorToken)
 	conf := c.site.Spec.Configuration()
 	conf.Weights.Moves = 7
-	_, _ = op.Apply(ctx, admin.Apply{Base: 1, Configuration: conf}) // either operator may win
+	_, _ = op.Apply(ctx, admin.ApplyRequest{Base: 1, Configuration: conf}) // either operator may win
 	p, err := op.Plan(ctx, fleet.Intent{Kind: fleet.IntentMaintain})
 	if err != nil {
 		return
@@ -215,7 +215,7 @@
 	conf := c.site.Spec.Configuration()
 	conf.Pools = append(conf.Pools, fleet.Pool{Name: "spare"})
 	applied = c.until(ctx, func() error {
-		_, err := c.site.Operator(OperatorToken).Apply(ctx, admin.Apply{ID: "second", Base: 1, Configuration: conf})
+		_, err := c.site.Operator(OperatorToken).Apply(ctx, admin.ApplyRequest{ID: "second", Base: 1, Configuration: conf})
 		return err
 	})
 	if err := c.carryOut(ctx, fleet.Intent{Kind: fleet.IntentMaintain}); err != nil {
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -123,7 +123,7 @@
 // leaderOf returns the index of the entry that leads, by what the first one has read.
 func leaderOf(nodes []*platformNode) int {
 	for i, n := range nodes {
-		if n.entry.Leads() {
+		if n.entry.IsLeader() {
 			return i
 		}
 	}
--- a/internal/trial/regions_test.go
+++ b/internal/trial/regions_test.go
@@ -53,7 +53,7 @@
 		time.Sleep(time.Minute)
 		conf := spec.Configuration()
 		conf.Pools = append(conf.Pools, fleet.Pool{Name: "spare"})
-		_, err := s.OperatorOf(EntryName(0, 0), OperatorToken).Apply(ctx, admin.Apply{ID: "second", Base: 1, Configuration: conf})
+		_, err := s.OperatorOf(EntryName(0, 0), OperatorToken).Apply(ctx, admin.ApplyRequest{ID: "second", Base: 1, Configuration: conf})
 		c.Assert(err, quicktest.IsNil)
 		whole := 0
 		const tries = 100
--- a/internal/trial/request_matrix_test.go
+++ b/internal/trial/request_matrix_test.go
@@ -201,7 +201,7 @@
 		if ran && !t.Repeatable && t.Outcome == serve.OutcomeNotRun {
 			return []string{"a copy was told 'not run' after an earlier copy had run"}
 		}
-		ran = ran || t.Outcome == serve.OutcomeWhole || t.Reason == serve.ReasonRanBefore
+		ran = ran || t.Outcome == serve.OutcomeWhole || t.Reason == serve.ReasonKeyCompleted
 	}
 	return nil
 }
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -152,7 +152,7 @@
 func (s *Site) put(id string, n int, address string, t *standin.Target) {
 	centre := Centre(n % s.Spec.DataCentres)
 	rack := fmt.Sprintf("%s-rack-%d", centre, n/s.Spec.DataCentres/s.Spec.RackSize+1)
-	s.Platform.Put(provider.Listed{ID: id, Role: provider.RoleWorker, DataCentre: centre, Rack: rack, Address: address,
+	s.Platform.Put(provider.Instance{ID: id, Role: provider.RoleWorker, DataCentre: centre, Rack: rack, Address: address,
 		Cores: s.Spec.Cores, MemoryMB: s.Spec.MemoryMB}, t)
 }
 
@@ -166,12 +166,12 @@
 		CheckpointEvery: fleet.Duration(s.Spec.CheckpointEvery),
 	}
 	e, err := entry.New(settings, entry.Options{
-		Logger:   s.Logger,
-		Platform: &cutTransport{site: s, centre: centre, next: s.transport()},
-		Listen:   s.listen,
-		Dial:     s.dial(),
-		Probe:    s.probe(name),
-		Cut:      func(peer string) bool { return s.isCut(centre, s.centreOf(peer)) || s.isCut(name, peer) },
+		Logger:      s.Logger,
+		Platform:    &cutTransport{site: s, centre: centre, next: s.transport()},
+		Listen:      s.listen,
+		Dial:        s.dial(),
+		OnStep:      s.probe(name),
+		Partitioned: func(peer string) bool { return s.isCut(centre, s.centreOf(peer)) || s.isCut(name, peer) },
 	})
 	if err != nil {
 		return err
@@ -181,7 +181,7 @@
 	s.mu.Lock()
 	s.entries[name] = n
 	s.mu.Unlock()
-	s.Platform.Put(provider.Listed{ID: name, Role: provider.RoleEntry, DataCentre: centre, Boot: e.Self().Boot}, nil)
+	s.Platform.Put(provider.Instance{ID: name, Role: provider.RoleEntry, DataCentre: centre, Boot: e.Self().Boot}, nil)
 	s.work.Go(func() {
 		defer close(n.done)
 		_ = e.RunUntil(ctx, n.crashed.Load) // it ends with StopEntry or CrashEntry
@@ -363,7 +363,7 @@
 // Publish publishes the first configuration and waits until every entry follows it and sees every target.
 func (s *Site) Publish(ctx context.Context) error {
 	err := s.Await(ctx, func() bool {
-		_, err := s.Operator(BootstrapToken).Apply(ctx, admin.Apply{ID: "first", Configuration: s.Spec.Configuration()})
+		_, err := s.Operator(BootstrapToken).Apply(ctx, admin.ApplyRequest{ID: "first", Configuration: s.Spec.Configuration()})
 		var refused *serve.Problem
 		return err == nil || (errors.As(err, &refused) && refused.Status == http.StatusUnauthorized) // it is in force already
 	})
--- a/job/encoding_test.go
+++ b/job/encoding_test.go
@@ -26,15 +26,15 @@
 		Times: 13, First: 14, Every: 15, Taken: 16, Organisation: "organisation",
 	}
 	golden.Check(c, "spec", spec, Encode, Decode)
-	golden.Check(c, "kept", Kept{
+	golden.Check(c, "kept", Stored{
 		State: 3, Done: []byte{4, 5}, Failed: []FailedRun{{Ordinal: 6, Run: 7}}, Ended: 8, Began: true,
 		Runs: []OrderedRun{{Ordinal: 9, Run: 10, Life: "life"}},
 	}, Encode, Decode)
-	golden.Check(c, "kept-running", Kept{State: 1}, Encode, Decode)
-	golden.Check(c, "kept-late", []KeptLate{{Ordinal: 1, Until: 2}}, Encode, Decode)
-	golden.Check(c, "kept-lost", []KeptLost{
-		{Ordinal: 1, Run: 2, Life: "life", AgeMS: 3, Suspects: 4, Tried: true},
-		{Ordinal: 5, Run: 6, Life: "next", AgeMS: -1, Suspects: 7, Proved: true},
+	golden.Check(c, "kept-running", Stored{State: 1}, Encode, Decode)
+	golden.Check(c, "kept-late", []StoredLate{{Ordinal: 1, Until: 2}}, Encode, Decode)
+	golden.Check(c, "kept-lost", []StoredLost{
+		{Ordinal: 1, Run: 2, Life: "life", AgeMS: 3, Suspects: 4, Isolated: true},
+		{Ordinal: 5, Run: 6, Life: "next", AgeMS: -1, Suspects: 7, Conclusive: true},
 	}, Encode, Decode)
 }
 
--- a/job/job.go
+++ b/job/job.go
@@ -55,15 +55,15 @@
 	Saved string
 	// FailedRuns are the runs that failed; each counts once.
 	FailedRuns []int64
-	// Since is when the run was ordered.
-	Since time.Time
+	// RunSince is when the run was ordered.
+	RunSince time.Time
 	// Percent is the progress that the worker last told.
 	Percent int
 	// Gauge is the worker's rough figure of the last half second: the tail in milliseconds, or the cores in use.
 	Gauge float64
 	// NotBefore is when the task may be started again, after a failure or a refusal; Held says that this time has not come.
 	NotBefore time.Time
-	Held      bool
+	BackingOff      bool
 	// LateUntil is the time until which an unanswered start of the task may still be carried out by a later life of its worker; the task is not
 	// started elsewhere before then. The zero time means that no such start is outstanding.
 	LateUntil time.Time
@@ -77,8 +77,8 @@
 	Suspect bool
 	// Avoid is the worker on which it failed last.
 	Avoid string
-	// Gone is since when a lasting task is not at work; zero while it is.
-	Gone time.Time
+	// DownSince is since when a lasting task is not at work; zero while it is.
+	DownSince time.Time
 	// AtWork says that a lasting task has been seen at work in this run.
 	AtWork bool
 }
@@ -108,20 +108,20 @@
 	Tasks []Task
 	// Left counts the tasks that are not finished, by time and step.
 	left []int
-	// Total counts all tasks that are not finished.
-	Total int
+	// Unfinished counts all tasks that are not finished.
+	Unfinished int
 	// Began says that a task of it has begun.
 	Began bool
 	// Version rises with each change that must be kept; KeptVersion is the newest that is.
-	Version, KeptVersion int64
+	Version, StoredVersion int64
 	// Ended is when the job reached its final state.
 	Ended time.Time
 	// Cancelling says that a cancel was accepted.
 	Cancelling bool
 	// Received is when this process learned of the job; its aim counts from From, which is earlier for a job of before a takeover.
 	Received, From time.Time
-	// Beyond says that its organisation sent it beyond its rate: it runs in room that no other job wants.
-	Beyond  bool
+	// OverRate says that its organisation sent it beyond its rate: it runs in room that no other job wants.
+	OverRate  bool
 	perTime int
 	starts  []int
 }
@@ -136,7 +136,7 @@
 	times := max(s.Times, 1)
 	j.Tasks = make([]Task, times*j.perTime)
 	j.left = make([]int, times*len(s.Steps))
-	j.Total = len(j.Tasks)
+	j.Unfinished = len(j.Tasks)
 	n := 0
 	for k := range times {
 		for i := range s.Steps {
@@ -187,8 +187,8 @@
 	return j.Spec.Times == 0 || !now.Before(j.Due(k))
 }
 
-// StepLeft returns how many tasks of the step of one time are not finished.
-func (j *Job) StepLeft(k, step int) int { return j.left[k*len(j.Spec.Steps)+step] }
+// StepUnfinished returns how many tasks of the step of one time are not finished.
+func (j *Job) StepUnfinished(k, step int) int { return j.left[k*len(j.Spec.Steps)+step] }
 
 // Done takes note of a run that ended with success; it says whether that was news.
 func (j *Job) Done(t *Task, now time.Time) bool {
@@ -198,10 +198,10 @@
 	t.Phase = Finished
 	t.Saved = ""
 	j.left[t.Time*len(j.Spec.Steps)+t.Step]--
-	j.Total--
+	j.Unfinished--
 	j.Began = true
 	j.Version++
-	if j.Total == 0 && !j.State.Ended() {
+	if j.Unfinished == 0 && !j.State.Ended() {
 		j.end(Succeeded, now)
 	}
 	return true
@@ -242,10 +242,10 @@
 	j.Version++
 }
 
-// Shown is the state that clients may see: a final one only once it is kept.
-func (j *Job) Shown() State {
+// VisibleState is the state that clients may see: a final one only once it is kept.
+func (j *Job) VisibleState() State {
 	switch {
-	case j.State.Ended() && j.KeptVersion >= j.Version:
+	case j.State.Ended() && j.StoredVersion >= j.Version:
 		return j.State
 	case j.Began:
 		return Running
@@ -253,8 +253,8 @@
 	return Queued
 }
 
-// Chain returns the longest chain of estimated work of one time.
-func (j *Job) Chain() time.Duration {
+// CriticalPath returns the longest chain of estimated work of one time.
+func (j *Job) CriticalPath() time.Duration {
 	var longest time.Duration
 	ends := make([]time.Duration, len(j.Spec.Steps))
 	for i := range j.Spec.Steps {
--- a/job/job_test.go
+++ b/job/job_test.go
@@ -27,21 +27,21 @@
 	c.Assert(j.StepOpen(0, 1, start), quicktest.IsFalse)
 	j.Done(j.Task(0, 0, 1), start)
 	c.Assert(j.StepOpen(0, 1, start), quicktest.IsTrue)
-	c.Assert(j.Chain(), quicktest.Equals, 1500*time.Millisecond)
+	c.Assert(j.CriticalPath(), quicktest.Equals, 1500*time.Millisecond)
 }
 
 func TestAFinalStateIsShownOnlyOnceItIsKept(t *testing.T) {
 	c := quicktest.New(t)
 	j := New(twoSteps(), start)
-	j.KeptVersion = j.Version
-	c.Assert(j.Shown(), quicktest.Equals, Queued)
+	j.StoredVersion = j.Version
+	c.Assert(j.VisibleState(), quicktest.Equals, Queued)
 	for i := range j.Tasks {
 		j.Done(&j.Tasks[i], start)
 	}
 	c.Assert(j.State, quicktest.Equals, Succeeded)
-	c.Assert(j.Shown(), quicktest.Equals, Running)
-	j.KeptVersion = j.Version
-	c.Assert(j.Shown(), quicktest.Equals, Succeeded)
+	c.Assert(j.VisibleState(), quicktest.Equals, Running)
+	j.StoredVersion = j.Version
+	c.Assert(j.VisibleState(), quicktest.Equals, Succeeded)
 	c.Assert(j.Cancel(start), quicktest.IsFalse)
 }
 
@@ -118,18 +118,18 @@
 				}
 			}
 		}
-		b, err := Encode(j.Keep())
+		b, err := Encode(j.Stored())
 		if err != nil {
 			r.Fatal(err)
 		}
-		var kept Kept
+		var kept Stored
 		if err := Decode(b, &kept); err != nil {
 			r.Fatal(err)
 		}
 		again := New(twoSteps(), start)
 		again.Restore(kept, start)
-		if again.State != j.State || (!j.State.Ended() && again.Total != j.Total) {
-			r.Fatalf("%v with %d left became %v with %d left", j.State, j.Total, again.State, again.Total)
+		if again.State != j.State || (!j.State.Ended() && again.Unfinished != j.Unfinished) {
+			r.Fatalf("%v with %d left became %v with %d left", j.State, j.Unfinished, again.State, again.Unfinished)
 		}
 		for i := range j.Tasks {
 			if !j.State.Ended() && (again.Tasks[i].Phase == Finished) != (j.Tasks[i].Phase == Finished) {
--- a/job/kept.go
+++ b/job/kept.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kept is what of a job must outlive every process, besides its Spec.
-type Kept struct {
+// Stored is what of a job must outlive every process, besides its Spec.
+type Stored struct {
 	_     struct{} `cbor:",toarray"`
 	State State
 	// Done has a bit for each finished task, by ordinal.
@@ -41,9 +41,9 @@
 	Run     int64
 }
 
-// Keep returns what is to be kept of the job.
-func (j *Job) Keep() Kept {
-	k := Kept{State: j.State, Done: make([]byte, (len(j.Tasks)+7)/8), Began: j.Began}
+// Stored returns what is to be kept of the job.
+func (j *Job) Stored() Stored {
+	k := Stored{State: j.State, Done: make([]byte, (len(j.Tasks)+7)/8), Began: j.Began}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
 		if t.Phase == Finished {
@@ -65,7 +65,7 @@
 }
 
 // Restore brings a new job to where what was kept left it.
-func (j *Job) Restore(k Kept, now time.Time) {
+func (j *Job) Restore(k Stored, now time.Time) {
 	j.Began = k.Began
 	for _, f := range k.Failed {
 		if f.Ordinal >= 0 && f.Ordinal < len(j.Tasks) {
@@ -82,7 +82,7 @@
 		j.State = k.State
 		j.Ended = k.Ended.Time()
 	}
-	j.Version, j.KeptVersion = 1, 1
+	j.Version, j.StoredVersion = 1, 1
 }
 
 // Encode returns the bytes of a Spec or a Kept.
--- a/job/late.go
+++ b/job/late.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// KeptLate is the stored form of a task's LateUntil.
-type KeptLate struct {
+// StoredLate is the stored form of a task's LateUntil.
+type StoredLate struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
 	// Until is the end of that period, in wall-clock time.
@@ -24,13 +24,13 @@
 // MayComeLate reports whether an unanswered start of the task may still be carried out.
 func (t *Task) MayComeLate(now time.Time) bool { return now.Before(t.LateUntil) }
 
-// KeepLate returns the tasks with starts that may still be carried out late, for storage. It converts LateUntil from the caller's clock, which reads now,
+// StoredLate returns the tasks with starts that may still be carried out late, for storage. It converts LateUntil from the caller's clock, which reads now,
 // to wall-clock time, which is timeOfDay.
-func (j *Job) KeepLate(now, timeOfDay time.Time) []KeptLate {
-	var kept []KeptLate
+func (j *Job) StoredLate(now, timeOfDay time.Time) []StoredLate {
+	var kept []StoredLate
 	for i := range j.Tasks {
 		if t := &j.Tasks[i]; t.MayComeLate(now) {
-			kept = append(kept, KeptLate{Ordinal: i, Until: UnixMilli(timeOfDay.Add(t.LateUntil.Sub(now)).UnixMilli())})
+			kept = append(kept, StoredLate{Ordinal: i, Until: UnixMilli(timeOfDay.Add(t.LateUntil.Sub(now)).UnixMilli())})
 		}
 	}
 	return kept
@@ -38,7 +38,7 @@
 
 // RestoreLate sets LateUntil from the stored entries. The remaining time is capped at limit, because the clock of the process that stored them may have
 // been ahead.
-func (j *Job) RestoreLate(kept []KeptLate, now, timeOfDay time.Time, limit time.Duration) {
+func (j *Job) RestoreLate(kept []StoredLate, now, timeOfDay time.Time, limit time.Duration) {
 	for _, k := range kept {
 		left := min(k.Until.Time().Sub(timeOfDay), limit)
 		if left > 0 && k.Ordinal >= 0 && k.Ordinal < len(j.Tasks) {
--- a/job/lost.go
+++ b/job/lost.go
@@ -9,13 +9,13 @@
 
 // Bounds of how often a task is started whose workers end.
 const (
-	// LostProved is after how many lives that ended under a task it may be given up, where the last of them proves that it was the task;
+	// LossLimitConclusive is after how many lives that ended under a task it may be given up, where the last of them proves that it was the task;
 	// the users allow as many. LostTried is the same where the last one only points at it.
-	LostProved = 2
-	LostTried  = 3
-	// LostMost is after how many it is given up whatever proves it: the users allow two starts after the third, and what a leader
+	LossLimitConclusive = 2
+	LossLimitIsolated  = 3
+	// LossLimit is after how many it is given up whatever proves it: the users allow two starts after the third, and what a leader
 	// does not learn of must fit in there. With five, 2 of 2,000 histories full of such tasks had one start too many.
-	LostMost = 4
+	LossLimit = 4
 )
 
 // AgeUnknown is the age of a run whose order this leader did not send.
@@ -29,13 +29,13 @@
 	Age time.Duration
 	// Suspects is how many runs, this one among them, may have ended the life by their age; 0 when this one most likely has not.
 	Suspects int
-	// Tried says that the run was tried apart and not cleared when the life ended, and Proved that its worker had confirmed it and ended at
+	// Isolated says that the run was tried apart and not cleared when the life ended, and Proved that its worker had confirmed it and ended at
 	// once, so that hardly anything else can have ended it.
-	Tried, Proved bool
+	Isolated, Conclusive bool
 }
 
-// Lose takes note of a run that was lost with its worker's life; each counts once. It says whether that was news.
-func (j *Job) Lose(t *Task, l LostRun) bool {
+// RecordLost takes note of a run that was lost with its worker's life; each counts once. It says whether that was news.
+func (j *Job) RecordLost(t *Task, l LostRun) bool {
 	for _, o := range t.Lost {
 		if o.Run == l.Run {
 			return false
@@ -45,42 +45,42 @@
 		return false
 	}
 	t.Lost = append(t.Lost, l)
-	t.Suspect = t.Suspect || l.Suspects > 0 || len(t.Lost) >= LostTried
+	t.Suspect = t.Suspect || l.Suspects > 0 || len(t.Lost) >= LossLimitIsolated
 	j.Version++
 	return true
 }
 
-// NeverThere takes back that a run was lost: its order has come to another life, or has not left.
-func (j *Job) NeverThere(t *Task, run int64) {
+// RetractLost takes back that a run was lost: its order has come to another life, or has not left.
+func (j *Job) RetractLost(t *Task, run int64) {
 	lost := len(t.Lost)
 	t.Lost = slices.DeleteFunc(t.Lost, func(l LostRun) bool { return l.Run == run })
 	if len(t.Lost) == lost {
 		return
 	}
-	t.Suspect = len(t.Lost) >= LostTried || slices.ContainsFunc(t.Lost, func(l LostRun) bool { return l.Suspects > 0 })
+	t.Suspect = len(t.Lost) >= LossLimitIsolated || slices.ContainsFunc(t.Lost, func(l LostRun) bool { return l.Suspects > 0 })
 	j.Version++
 }
 
-// Clear takes note that a run has gone on for longer than any under which a life ended.
-func (j *Job) Clear(t *Task) { t.Suspect = false }
+// ClearSuspicion takes note that a run has gone on for longer than any under which a life ended.
+func (j *Job) ClearSuspicion(t *Task) { t.Suspect = false }
 
-// Refute forgets the lives that ended under a task that is surely not the cause.
-func (j *Job) Refute(t *Task) {
+// ClearLost forgets the lives that ended under a task that is surely not the cause.
+func (j *Job) ClearLost(t *Task) {
 	if len(t.Lost) > 0 {
 		t.Lost, t.Suspect = nil, false
 		j.Version++
 	}
 }
 
-// Hopeless says whether so many lives have ended under the task that it is not to be started again.
-func (t *Task) Hopeless() bool {
+// ExceedsLossLimit says whether so many lives have ended under the task that it is not to be started again.
+func (t *Task) ExceedsLossLimit() bool {
 	n := len(t.Lost)
 	if n == 0 {
 		return false
 	}
 	last := t.Lost[n-1]
-	tried := last.Tried || (t.Spec().Gang && last.Suspects > 0) // a gang starts together or not at all, so that none of it is tried apart
-	return n >= LostMost || (t.alike(last) && ((n >= LostTried && tried) || (n >= LostProved && last.Proved)))
+	tried := last.Isolated || (t.Spec().Gang && last.Suspects > 0) // a gang starts together or not at all, so that none of it is tried apart
+	return n >= LossLimit || (t.alike(last) && ((n >= LossLimitIsolated && tried) || (n >= LossLimitConclusive && last.Conclusive)))
 }
 
 // riskAfterTried is how likely a task is taken to end its next worker's life once LostTried have ended under it, whatever their ages: nobody knows, so an even chance.
@@ -95,14 +95,14 @@
 			risk = max(risk, 1/float64(l.Suspects))
 		}
 	}
-	if len(t.Lost) >= LostTried {
+	if len(t.Lost) >= LossLimitIsolated {
 		risk = max(risk, riskAfterTried)
 	}
 	return risk
 }
 
-// LongestLost is the greatest age of the runs that may have ended a life, or of all that were lost if none may have.
-func (t *Task) LongestLost() time.Duration {
+// MaxLostAge is the greatest age of the runs that may have ended a life, or of all that were lost if none may have.
+func (t *Task) MaxLostAge() time.Duration {
 	longest, any := time.Duration(0), time.Duration(0)
 	for _, l := range t.Lost {
 		any = max(any, l.Age)
@@ -130,8 +130,8 @@
 	return false
 }
 
-// Parked says that the task lasts and is not to be started again: its job goes on with the others.
-func (t *Task) Parked() bool { return t.Spec().Lasting && t.Hopeless() }
+// GivenUp says that the task lasts and is not to be started again: its job goes on with the others.
+func (t *Task) GivenUp() bool { return t.Spec().Lasting && t.ExceedsLossLimit() }
 
 // GiveUp takes note that a task is not to be started again, and ends its job as failed. A job whose tasks last goes on with the others: to
 // end them would take away what serves users.
@@ -140,16 +140,16 @@
 		return
 	}
 	for i := range j.Tasks {
-		if o := &j.Tasks[i]; t.Spec().Lasting && o.Phase != Finished && !o.Hopeless() {
+		if o := &j.Tasks[i]; t.Spec().Lasting && o.Phase != Finished && !o.ExceedsLossLimit() {
 			return
 		}
 	}
 	j.end(Failed, now)
 }
 
-// KeptLost is what must outlive every process of the runs that were lost with a worker's life. It is a record of its own beside Kept, so that
+// StoredLost is what must outlive every process of the runs that were lost with a worker's life. It is a record of its own beside Kept, so that
 // a version that does not know it reads the other as before.
-type KeptLost struct {
+type StoredLost struct {
 	_       struct{} `cbor:",toarray"`
 	Ordinal int
 	Run     int64
@@ -157,7 +157,7 @@
 	// AgeMS is LostRun.Age in milliseconds.
 	AgeMS         int64
 	Suspects      int
-	Tried, Proved bool
+	Isolated, Conclusive bool
 }
 
 // ageMS returns the age in milliseconds, under zero when it is unknown.
@@ -168,30 +168,30 @@
 	return l.Age.Milliseconds()
 }
 
-// KeepLost returns what is to be kept of the runs that were lost; nothing for a job that has ended.
-func (j *Job) KeepLost() []KeptLost {
+// StoredLost returns what is to be kept of the runs that were lost; nothing for a job that has ended.
+func (j *Job) StoredLost() []StoredLost {
 	if j.State.Ended() {
 		return nil
 	}
-	var kept []KeptLost
+	var kept []StoredLost
 	for i := range j.Tasks {
 		for _, l := range j.Tasks[i].Lost {
-			kept = append(kept, KeptLost{Ordinal: i, Run: l.Run, Life: l.Life, AgeMS: l.ageMS(), Suspects: l.Suspects, Tried: l.Tried, Proved: l.Proved})
+			kept = append(kept, StoredLost{Ordinal: i, Run: l.Run, Life: l.Life, AgeMS: l.ageMS(), Suspects: l.Suspects, Isolated: l.Isolated, Conclusive: l.Conclusive})
 		}
 	}
 	return kept
 }
 
 // RestoreLost brings back what KeepLost returned. A task that was cleared since its last loss is tried apart once more.
-func (j *Job) RestoreLost(kept []KeptLost) {
+func (j *Job) RestoreLost(kept []StoredLost) {
 	for _, k := range kept {
 		if k.Ordinal >= 0 && k.Ordinal < len(j.Tasks) {
 			age := time.Duration(k.AgeMS) * time.Millisecond
 			if k.AgeMS < 0 {
 				age = AgeUnknown
 			}
-			j.Lose(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Life: k.Life, Age: age, Suspects: k.Suspects, Tried: k.Tried, Proved: k.Proved})
+			j.RecordLost(&j.Tasks[k.Ordinal], LostRun{Run: k.Run, Life: k.Life, Age: age, Suspects: k.Suspects, Isolated: k.Isolated, Conclusive: k.Conclusive})
 		}
 	}
-	j.Version = j.KeptVersion // all of it is kept
+	j.Version = j.StoredVersion // all of it is kept
 }
--- a/job/lost_test.go
+++ b/job/lost_test.go
@@ -17,8 +17,8 @@
 
 func TestATaskIsHopelessByWhatItsLostRunsProve(t *testing.T) {
 	plain := job.LostRun{Suspects: 5}
-	tried := job.LostRun{Suspects: 1, Tried: true}
-	proved := job.LostRun{Suspects: 1, Tried: true, Proved: true}
+	tried := job.LostRun{Suspects: 1, Isolated: true}
+	proved := job.LostRun{Suspects: 1, Isolated: true, Conclusive: true}
 	for _, x := range [...]struct {
 		name string
 		lost []job.LostRun
@@ -31,7 +31,7 @@
 		{"three, the last points at it", []job.LostRun{plain, plain, tried}, true},
 		{"three beside others", []job.LostRun{plain, tried, plain}, false},
 		{"two at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, proved}, false},
-		{"three at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, {Tried: true, Age: 400 * time.Millisecond}, tried}, false},
+		{"three at ages that differ", []job.LostRun{{Suspects: 5, Age: time.Second}, {Isolated: true, Age: 400 * time.Millisecond}, tried}, false},
 		{"two, the first by an earlier leader", []job.LostRun{{Suspects: 5, Age: job.AgeUnknown}, proved}, false},
 		{"four at ages that differ", []job.LostRun{{Age: time.Second}, {Age: 2 * time.Second}, plain, {}}, true},
 	} {
@@ -39,9 +39,9 @@
 			j := lostJob(false)
 			for i, l := range x.lost {
 				l.Run = int64(i + 1)
-				quicktest.Assert(t, j.Lose(&j.Tasks[0], l), quicktest.IsTrue)
+				quicktest.Assert(t, j.RecordLost(&j.Tasks[0], l), quicktest.IsTrue)
 			}
-			quicktest.Assert(t, j.Tasks[0].Hopeless(), quicktest.Equals, x.want)
+			quicktest.Assert(t, j.Tasks[0].ExceedsLossLimit(), quicktest.Equals, x.want)
 		})
 	}
 }
@@ -51,44 +51,44 @@
 	j := lostJob(false)
 	j.Spec.Steps[0].Gang = true
 	for run, want := range []bool{false, false, true} {
-		j.Lose(&j.Tasks[0], job.LostRun{Run: int64(run + 1), Suspects: 5, Age: 20 * time.Millisecond})
-		c.Assert(j.Tasks[0].Hopeless(), quicktest.Equals, want)
+		j.RecordLost(&j.Tasks[0], job.LostRun{Run: int64(run + 1), Suspects: 5, Age: 20 * time.Millisecond})
+		c.Assert(j.Tasks[0].ExceedsLossLimit(), quicktest.Equals, want)
 	}
 }
 
 func TestALostRunCountsOnceAndOutlivesEveryProcess(t *testing.T) {
 	c := quicktest.New(t)
 	j := lostJob(false)
-	l := job.LostRun{Run: 7, Life: "w1", Age: 30 * time.Millisecond, Suspects: 4, Tried: true}
-	c.Assert(j.Lose(&j.Tasks[1], l), quicktest.IsTrue)
-	c.Assert(j.Lose(&j.Tasks[1], l), quicktest.IsFalse)
-	value, err := job.Encode(j.KeepLost())
+	l := job.LostRun{Run: 7, Life: "w1", Age: 30 * time.Millisecond, Suspects: 4, Isolated: true}
+	c.Assert(j.RecordLost(&j.Tasks[1], l), quicktest.IsTrue)
+	c.Assert(j.RecordLost(&j.Tasks[1], l), quicktest.IsFalse)
+	value, err := job.Encode(j.StoredLost())
 	c.Assert(err, quicktest.IsNil)
 
-	var kept []job.KeptLost
+	var kept []job.StoredLost
 	c.Assert(job.Decode(value, &kept), quicktest.IsNil)
 	next := lostJob(false)
-	c.Assert(j.Lose(&j.Tasks[0], job.LostRun{Run: 8, Age: job.AgeUnknown}), quicktest.IsTrue)
-	next.RestoreLost(append(j.KeepLost(), job.KeptLost{Ordinal: 99})) // of another version's job: left out
+	c.Assert(j.RecordLost(&j.Tasks[0], job.LostRun{Run: 8, Age: job.AgeUnknown}), quicktest.IsTrue)
+	next.RestoreLost(append(j.StoredLost(), job.StoredLost{Ordinal: 99})) // of another version's job: left out
 	c.Assert(next.Tasks[1].Lost, quicktest.DeepEquals, []job.LostRun{l})
 	c.Assert(next.Tasks[1].Suspect, quicktest.IsTrue)
 	c.Assert(next.Tasks[0].Suspect, quicktest.IsFalse)
 	c.Assert(next.Tasks[0].Lost[0].Age, quicktest.Equals, job.AgeUnknown)
-	c.Assert(next.Version, quicktest.Equals, next.KeptVersion)
-	c.Assert(next.Lose(&next.Tasks[1], l), quicktest.IsFalse)
+	c.Assert(next.Version, quicktest.Equals, next.StoredVersion)
+	c.Assert(next.RecordLost(&next.Tasks[1], l), quicktest.IsFalse)
 }
 
 func TestAJobWhoseTasksLastGoesOnWithoutTheOneThatCrashes(t *testing.T) {
 	c := quicktest.New(t)
 	j := lostJob(true)
 	give := func(t *job.Task) {
-		for run := range int64(job.LostMost) {
-			j.Lose(t, job.LostRun{Run: run + 1})
+		for run := range int64(job.LossLimit) {
+			j.RecordLost(t, job.LostRun{Run: run + 1})
 		}
 		j.GiveUp(t, time.Now())
 	}
 	give(&j.Tasks[0])
-	c.Assert(j.Tasks[0].Parked(), quicktest.IsTrue)
+	c.Assert(j.Tasks[0].GivenUp(), quicktest.IsTrue)
 	c.Assert(j.State, quicktest.Equals, job.Queued)
 	give(&j.Tasks[1])
 	c.Assert(j.State, quicktest.Equals, job.Failed) // nothing of it is left
--- a/job/owner.go
+++ b/job/owner.go
@@ -7,25 +7,25 @@
 // idLength is the length of a job's ID.
 const idLength = 16
 
-// Owned names a job as it is kept: its ID behind the name of the organisation that handed it in, or alone.
+// QualifiedID names a job as it is kept: its ID behind the name of the organisation that handed it in, or alone.
 //
 // IDs are chosen by clients. Two organisations that choose the same one write under keys of their own, so that neither can
 // overwrite or cancel what the other has handed in.
-type Owned string
+type QualifiedID string
 
-// OwnedBy returns the name under which an organisation's job is kept; nobody's when the organisation is empty.
-func OwnedBy(organisation, id string) Owned {
+// Qualify returns the name under which an organisation's job is kept; nobody's when the organisation is empty.
+func Qualify(organisation, id string) QualifiedID {
 	if organisation == "" {
-		return Owned(id)
+		return QualifiedID(id)
 	}
-	return Owned(organisation + "/" + id)
+	return QualifiedID(organisation + "/" + id)
 }
 
-// Owner returns the name under which the job is kept.
-func (s *Spec) Owner() Owned { return OwnedBy(s.Organisation, s.ID) }
+// QualifiedID returns the name under which the job is kept.
+func (s *Spec) QualifiedID() QualifiedID { return Qualify(s.Organisation, s.ID) }
 
 // Parts returns the organisation and the ID; names of organisations may hold any sign.
-func (o Owned) Parts() (organisation, id string) {
+func (o QualifiedID) Parts() (organisation, id string) {
 	if i := len(o) - idLength - 1; i > 0 && o[i] == '/' {
 		return string(o[:i]), string(o[i+1:])
 	}
@@ -38,34 +38,34 @@
 	cancelKey   = "c/"
 )
 
-// HandedInKey returns the intake's key of the job.
-func (o Owned) HandedInKey() string { return handedInKey + string(o) }
+// SubmissionKey returns the intake's key of the job.
+func (o QualifiedID) SubmissionKey() string { return handedInKey + string(o) }
 
 // CancelKey returns the intake's key of the wish to cancel the job.
-func (o Owned) CancelKey() string { return cancelKey + string(o) }
+func (o QualifiedID) CancelKey() string { return cancelKey + string(o) }
 
-// HandedIn returns the job that a key of the intake hands in, and false when it does not.
-func HandedIn(key string) (Owned, bool) { return cutKey(key, handedInKey) }
+// ParseSubmissionKey returns the job that a key of the intake hands in, and false when it does not.
+func ParseSubmissionKey(key string) (QualifiedID, bool) { return cutKey(key, handedInKey) }
 
-// CancelWished returns the job that a key of the intake wants cancelled, and false when it does not.
-func CancelWished(key string) (Owned, bool) { return cutKey(key, cancelKey) }
+// ParseCancelKey returns the job that a key of the intake wants cancelled, and false when it does not.
+func ParseCancelKey(key string) (QualifiedID, bool) { return cutKey(key, cancelKey) }
 
-func cutKey(key, prefix string) (Owned, bool) {
+func cutKey(key, prefix string) (QualifiedID, bool) {
 	rest, ok := strings.CutPrefix(key, prefix)
-	return Owned(rest), ok
+	return QualifiedID(rest), ok
 }
 
-// Question asks for a job, or for a queue when ID is empty.
-type Question struct {
+// Query asks for a job, or for a queue when ID is empty.
+type Query struct {
 	ID, Queue string
 	// Organisation is who asks, empty for nobody that is known; Open says that the queue answers anybody.
 	Organisation string
 	Open         bool
 }
 
-// Sees says whether who asks may know of the job: its organisation may, and everybody of one that nobody in particular has handed in, or whose
+// MaySee says whether who asks may know of the job: its organisation may, and everybody of one that nobody in particular has handed in, or whose
 // queue answers anybody by now.
-func (q Question) Sees(s *Spec) bool {
+func (q Query) MaySee(s *Spec) bool {
 	return s.Organisation == "" || s.Organisation == q.Organisation || (q.Open && q.Queue == s.Queue)
 }
 
--- a/job/queue.go
+++ b/job/queue.go
@@ -28,8 +28,8 @@
 // Pool is what the configuration says of one pool of workers.
 type Pool struct {
 	Name string
-	// Guards says that the workers refuse what does not fit.
-	Guards bool
+	// AdmissionCheck says that the workers refuse what does not fit.
+	AdmissionCheck bool
 	// Headroom pools are off and cost nothing.
 	Headroom bool
 }
--- a/job/spec.go
+++ b/job/spec.go
@@ -57,13 +57,13 @@
 	return Need{MilliCPU: n.MilliCPU + o.MilliCPU, MemoryMB: n.MemoryMB + o.MemoryMB, GPU: n.GPU + o.GPU}
 }
 
-// Most returns the larger of each figure of two needs.
-func (n Need) Most(o Need) Need {
+// Max returns the larger of each figure of two needs.
+func (n Need) Max(o Need) Need {
 	return Need{MilliCPU: max(n.MilliCPU, o.MilliCPU), MemoryMB: max(n.MemoryMB, o.MemoryMB), GPU: max(n.GPU, o.GPU)}
 }
 
-// Least returns the smaller of each figure of two needs.
-func (n Need) Least(o Need) Need {
+// Min returns the smaller of each figure of two needs.
+func (n Need) Min(o Need) Need {
 	return Need{MilliCPU: min(n.MilliCPU, o.MilliCPU), MemoryMB: min(n.MemoryMB, o.MemoryMB), GPU: min(n.GPU, o.GPU)}
 }
 
@@ -72,8 +72,8 @@
 	return Need{MilliCPU: n.MilliCPU * count, MemoryMB: n.MemoryMB * count, GPU: n.GPU * count}
 }
 
-// Lacks says that there is less than nothing of something.
-func (n Need) Lacks() bool { return n.MilliCPU < 0 || n.MemoryMB < 0 || n.GPU < 0 }
+// AnyNegative says that there is less than nothing of something.
+func (n Need) AnyNegative() bool { return n.MilliCPU < 0 || n.MemoryMB < 0 || n.GPU < 0 }
 
 // Step is a group of like tasks.
 type Step struct {
--- a/keep/writer.go
+++ b/keep/writer.go
@@ -26,17 +26,17 @@
 	// Name and Epoch fence the writers of earlier terms.
 	Name  string
 	Epoch int64
-	// RecordMost bounds the bytes of one record, its key included; none when 0.
-	RecordMost int
-	// Failing is called when the store first gives no answer to a batch, Again when it takes that batch after all.
-	Failing func(err error)
-	Again   func()
+	// MaxRecordBytes bounds the bytes of one record, its key included; none when 0.
+	MaxRecordBytes int
+	// OnFailure is called when the store first gives no answer to a batch, Again when it takes that batch after all.
+	OnFailure func(err error)
+	OnRecovery   func()
 
 	sequence int64
 }
 
-// Aside is a record that the store surely never takes.
-type Aside struct {
+// RejectedRecord is a record that the store surely never takes.
+type RejectedRecord struct {
 	Key string
 	// Bytes is the size of the record, its key included.
 	Bytes int
@@ -44,7 +44,7 @@
 }
 
 // Error returns the problem and the remedy.
-func (a Aside) Error() string {
+func (a RejectedRecord) Error() string {
 	return fmt.Sprintf("record %q of %d bytes is not kept: %v; make what it holds smaller", a.Key, a.Bytes, a.Err)
 }
 
@@ -54,12 +54,12 @@
 // Append keeps the records and returns those that the store surely never takes; all others are kept then.
 //
 // It tries until the context ends, which is its error then; a *feed.FencedError or a *feed.SequenceError says that the term is over.
-func (w *Writer) Append(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
-	var aside []Aside
+func (w *Writer) Append(ctx context.Context, records []feed.KeyedRecord) ([]RejectedRecord, error) {
+	var aside []RejectedRecord
 	fit := make([]feed.KeyedRecord, 0, len(records))
 	for _, r := range records {
-		if n := size(r); w.RecordMost > 0 && n > w.RecordMost {
-			aside = append(aside, Aside{Key: r.Key, Bytes: n, Err: errTooLong})
+		if n := size(r); w.MaxRecordBytes > 0 && n > w.MaxRecordBytes {
+			aside = append(aside, RejectedRecord{Key: r.Key, Bytes: n, Err: errTooLong})
 			continue
 		}
 		fit = append(fit, r)
@@ -72,14 +72,14 @@
 }
 
 // appendParts appends the records, in halves where the store refuses them together.
-func (w *Writer) appendParts(ctx context.Context, records []feed.KeyedRecord) ([]Aside, error) {
+func (w *Writer) appendParts(ctx context.Context, records []feed.KeyedRecord) ([]RejectedRecord, error) {
 	err := w.call(ctx, records)
 	var refused *feed.RefusedError
 	switch {
 	case !errors.As(err, &refused):
 		return nil, err
 	case len(records) == 1:
-		return []Aside{{Key: records[0].Key, Bytes: size(records[0]), Err: err}}, nil
+		return []RejectedRecord{{Key: records[0].Key, Bytes: size(records[0]), Err: err}}, nil
 	}
 	half := len(records) / 2
 	first, err := w.appendParts(ctx, records[:half])
@@ -92,7 +92,7 @@
 
 // call makes one append until it is answered; the same sequence number again is taken once.
 func (w *Writer) call(ctx context.Context, records []feed.KeyedRecord) error {
-	b := feed.Batch{Records: records, At: -1, Writer: feed.Writer{Name: w.Name, Epoch: w.Epoch, Sequence: w.sequence + 1}}
+	b := feed.Batch{Records: records, ExpectedEnd: -1, Writer: feed.Writer{Name: w.Name, Epoch: w.Epoch, Sequence: w.sequence + 1}}
 	failed := false
 	for ctx.Err() == nil {
 		err := w.once(ctx, b)
@@ -100,13 +100,13 @@
 		case err == nil:
 			w.sequence++
 			if failed {
-				w.Again()
+				w.OnRecovery()
 			}
 			return nil
 		case final(err):
 			return err
 		case !failed:
-			w.Failing(err)
+			w.OnFailure(err)
 		}
 		failed = true
 		pause(ctx, callPause)
--- a/keep/writer_test.go
+++ b/keep/writer_test.go
@@ -50,7 +50,7 @@
 	}
 	for _, r := range b.Records {
 		if s.bad(r) {
-			return 0, &feed.RefusedError{Answer: "no"}
+			return 0, &feed.RefusedError{Message: "no"}
 		}
 	}
 	for _, r := range b.Records {
@@ -64,7 +64,7 @@
 }
 
 func (s *shelf) writer() *Writer {
-	return &Writer{Call: s.append, Name: "w", Epoch: 1, RecordMost: 100, Failing: func(error) {}, Again: func() {}}
+	return &Writer{Call: s.append, Name: "w", Epoch: 1, MaxRecordBytes: 100, OnFailure: func(error) {}, OnRecovery: func() {}}
 }
 
 // The story. A fleet's leader kept all its workers in one record. Past some 3,500 of them the store refused it for good, 400 "records can't be read, or
@@ -86,7 +86,7 @@
 			s.bad = func(r feed.KeyedRecord) bool { return size(r) > 100 }
 			w := s.writer()
 			if !x.bounded {
-				w.RecordMost = 0
+				w.MaxRecordBytes = 0
 			}
 			records := []feed.KeyedRecord{{Key: "a", Value: []byte{1}}, {Key: "b", Value: []byte{1}}, {Key: "long", Value: bytes.Repeat([]byte{1}, 200)}, {Key: "c"}, {Key: "d"}}
 			aside, err := w.Append(context.Background(), records)
@@ -140,7 +140,7 @@
 		for i, v := range values {
 			r := feed.KeyedRecord{Key: fmt.Sprint("k", i), Value: v}
 			records = append(records, r)
-			if s.bad(r) || size(r) > w.RecordMost {
+			if s.bad(r) || size(r) > w.MaxRecordBytes {
 				wantAside[r.Key] = true
 				continue
 			}
@@ -172,18 +172,18 @@
 
 func TestRowsComeInTheOrderOfTheirFirstChange(t *testing.T) {
 	c := quicktest.New(t)
-	var x Rows[int]
+	var x DirtyRows[int]
 	x.Add("a", 1)
 	x.Add("b", 2)
 	x.Add("a", 3)
 	x.Add("c", 4)
-	x.Drop("b")
-	key, row, ok := x.Next()
+	x.Remove("b")
+	key, row, ok := x.Pop()
 	c.Assert([]any{key, row, ok}, quicktest.DeepEquals, []any{"a", 3, true})
 	c.Assert(x.Has("c"), quicktest.IsTrue)
-	key, _, _ = x.Next()
+	key, _, _ = x.Pop()
 	c.Assert(key, quicktest.Equals, "c")
-	_, _, ok = x.Next()
+	_, _, ok = x.Pop()
 	c.Assert(ok, quicktest.IsFalse)
 	c.Assert(x.Empty(), quicktest.IsTrue)
 }
--- a/lead/late_test.go
+++ b/lead/late_test.go
@@ -44,7 +44,7 @@
 			time.Sleep(400 * time.Millisecond) // one renewal more
 			tp.setFails("a", true)
 			last := time.Now()
-			renewed := (<-terms).Renewed
+			renewed := (<-terms).PredecessorRenewed
 			c.Check(renewed.After(last.Add(raisedMargin)), quicktest.IsFalse, quicktest.Commentf("%v after the last one", renewed.Sub(last)))
 			cancel()
 			time.Sleep(time.Minute)
--- a/lead/lead.go
+++ b/lead/lead.go
@@ -79,10 +79,10 @@
 	Clock *clock.Clock
 	// Serve leads until its context ends; it is called for each term that was taken.
 	Serve func(ctx context.Context, t Term)
-	// Seen is called with every new record of a leader, from one goroutine.
-	Seen func(r Record)
-	// May says whether this entry may lead now; always when nil.
-	May func() bool
+	// OnRecord is called with every new record of a leader, from one goroutine.
+	OnRecord func(r Record)
+	// Eligible says whether this entry may lead now; always when nil.
+	Eligible func() bool
 
 	mu        sync.Mutex
 	latest    Record
@@ -131,8 +131,8 @@
 	return e.latest
 }
 
-// Lost ends the term with the fence, after a refusal for a higher one.
-func (e *Elector) Lost(fence int64) {
+// StepDown ends the term with the fence, after a refusal for a higher one.
+func (e *Elector) StepDown(fence int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lost != nil && e.fence == fence {
@@ -247,8 +247,8 @@
 	return since
 }
 
-// Look ends a rest: the leader that is known does not answer, and another one may have been published.
-func (e *Elector) Look() {
+// ReadNow ends a rest: the leader that is known does not answer, and another one may have been published.
+func (e *Elector) ReadNow() {
 	select {
 	case e.look <- struct{}{}:
 	default:
@@ -322,8 +322,8 @@
 		e.lost()
 	}
 	e.mu.Unlock()
-	if news != nil && e.Seen != nil {
-		e.Seen(*news)
+	if news != nil && e.OnRecord != nil {
+		e.OnRecord(*news)
 	}
 }
 
@@ -342,7 +342,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Clock.Now()
-	if e.lost != nil || e.resigned || now.Before(e.notBefore) || (e.May != nil && !e.May()) {
+	if e.lost != nil || e.resigned || now.Before(e.notBefore) || (e.Eligible != nil && !e.Eligible()) {
 		return false
 	}
 	return now.Sub(e.changed) >= e.patience()
@@ -383,7 +383,7 @@
 	end := e.end
 	e.mu.Unlock()
 	// Until the first renewal nothing is known of the leaders before.
-	rec := Record{Entry: e.Entry, Address: e.Address, Boot: e.Boot, Weight: max(e.Weight, weight), Term: term, Fence: term<<fenceBits | rand.Int64N(1<<(fenceBits-1)), Open: term > 1, Coarse: term > 1}
+	rec := Record{Entry: e.Entry, Address: e.Address, Boot: e.Boot, Weight: max(e.Weight, weight), Term: term, Fence: term<<fenceBits | rand.Int64N(1<<(fenceBits-1)), PredecessorsActive: term > 1, PredecessorsUnstored: term > 1}
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	sent := e.Clock.Sure()
 	next, err := e.append(call, rec, end, 0)
@@ -399,17 +399,17 @@
 	}
 	serve, lost := context.WithCancel(ctx)
 	e.mu.Lock()
-	t := Term{Number: term, Fence: rec.Fence, Renewed: e.renewed, Coarse: e.latest.Loose || e.latest.Coarse || e.sawOutage()}
-	t.Clean = e.latest.Term == 0 || (e.latest.Released && !e.latest.Open)
-	t.Alone = t.Clean || (e.earlierLife() && !e.latest.Open)
-	e.open, e.coarse = !t.Alone, t.Coarse && !t.Clean
+	t := Term{Number: term, Fence: rec.Fence, PredecessorRenewed: e.renewed, PredecessorsUnstored: e.latest.Unstored || e.latest.PredecessorsUnstored || e.sawOutage()}
+	t.CleanHandover = e.latest.Term == 0 || (e.latest.Released && !e.latest.PredecessorsActive)
+	t.Exclusive = t.CleanHandover || (e.earlierLife() && !e.latest.PredecessorsActive)
+	e.open, e.coarse = !t.Exclusive, t.PredecessorsUnstored && !t.CleanHandover
 	e.loose, e.looseKept = false, false
 	e.latest, e.end = rec, next
 	e.lost, e.fence = lost, rec.Fence
 	e.changed, e.confirmed = e.Clock.Now(), sent
 	e.mu.Unlock()
-	if e.Seen != nil {
-		e.Seen(rec)
+	if e.OnRecord != nil {
+		e.OnRecord(rec)
 	}
 	e.Events.Emit(event.LeadTaken, event.Subject{Entry: e.Entry}, fmt.Sprintf("term=%d fence=%d", term, rec.Fence))
 	go e.lead(serve, rec, t)
@@ -447,7 +447,7 @@
 		return 0, fmt.Errorf("encode the leader's record: %w", err)
 	}
 	return e.Topic.Append(ctx, feed.Batch{
-		Records: []feed.KeyedRecord{{Key: key, Value: value}}, At: at,
+		Records: []feed.KeyedRecord{{Key: key, Value: value}}, ExpectedEnd: at,
 		Writer: feed.Writer{Name: writer, Epoch: rec.Fence, Sequence: sequence},
 	})
 }
@@ -509,7 +509,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.mu.Lock()
-	r.record.Loose, r.record.Open, r.record.Coarse = e.loose, e.open, e.coarse
+	r.record.Unstored, r.record.PredecessorsActive, r.record.PredecessorsUnstored = e.loose, e.open, e.coarse
 	e.mu.Unlock()
 	first := e.Clock.Sure()
 	answers := make(chan error, renewMost)
@@ -533,7 +533,7 @@
 				again.Stop()
 				return renewal{record: r.record, sequence: r.sequence + 1}
 			case errors.As(err, &fenced):
-				e.Lost(r.record.Fence)
+				e.StepDown(r.record.Fence)
 			default:
 				pause(ctx, renewAgain)
 			}
@@ -555,13 +555,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.confirmed = first
-	e.looseKept = r.record.Loose && e.loose
+	e.looseKept = r.record.Unstored && e.loose
 }
 
 func (e *Elector) release(rec Record, sequence int64) {
 	rec.Released = true
 	e.mu.Lock()
-	rec.Loose, rec.Open, rec.Coarse = e.loose, e.open, e.coarse
+	rec.Unstored, rec.PredecessorsActive, rec.PredecessorsUnstored = e.loose, e.open, e.coarse
 	e.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/lead/lead_test.go
+++ b/lead/lead_test.go
@@ -76,7 +76,7 @@
 	switch {
 	case b.Epoch < t.epoch:
 		return 0, &feed.FencedError{}
-	case b.At >= 0 && b.At != int64(len(t.records)):
+	case b.ExpectedEnd >= 0 && b.ExpectedEnd != int64(len(t.records)):
 		return 0, &feed.ConditionError{End: int64(len(t.records))}
 	}
 	t.epoch = b.Epoch
@@ -181,7 +181,7 @@
 		c.Assert(g.leader(c), quicktest.Equals, first)
 		c.Assert(first.Confirmed(), quicktest.IsTrue)
 		c.Assert(g.terms, quicktest.HasLen, 1)
-		c.Assert(g.terms[0].Clean, quicktest.IsTrue)
+		c.Assert(g.terms[0].CleanHandover, quicktest.IsTrue)
 	})
 }
 
@@ -193,7 +193,7 @@
 		time.Sleep(400 * time.Millisecond)
 		g.leader(c)
 		c.Assert(g.terms, quicktest.HasLen, 2)
-		c.Assert(g.terms[1].Clean, quicktest.IsTrue)
+		c.Assert(g.terms[1].CleanHandover, quicktest.IsTrue)
 		c.Assert(g.terms[1].Fence > g.terms[0].Fence, quicktest.IsTrue)
 	})
 }
@@ -209,7 +209,7 @@
 		time.Sleep(400 * time.Millisecond)
 		c.Assert(g.leader(c) == old, quicktest.IsFalse)
 		c.Assert(g.terms, quicktest.HasLen, 2)
-		c.Assert(g.terms[1].Clean, quicktest.IsTrue)
+		c.Assert(g.terms[1].CleanHandover, quicktest.IsTrue)
 		next := g.leader(c)
 		next.HandOver(g.terms[1].Fence)
 		time.Sleep(400 * time.Millisecond)
@@ -237,7 +237,7 @@
 		}
 		c.Assert(old.Confirmed(), quicktest.IsFalse, quicktest.Commentf("both are confirmed"))
 		c.Assert(time.Since(began) < missedAfter+spread+renewEvery, quicktest.IsTrue, quicktest.Commentf("after %v", time.Since(began)))
-		c.Assert(g.terms[1].Clean, quicktest.IsFalse)
+		c.Assert(g.terms[1].CleanHandover, quicktest.IsFalse)
 		g.topic.setFails(old.Entry, false)
 		time.Sleep(2 * time.Second)
 		c.Assert(g.leader(c) == old, quicktest.IsFalse)
@@ -249,13 +249,13 @@
 		g := newGroup(t, 2)
 		time.Sleep(3 * time.Second)
 		e := g.electors[0]
-		c.Assert(e.Silence(), quicktest.Equals, time.Duration(0))
+		c.Assert(e.UnansweredFor(), quicktest.Equals, time.Duration(0))
 		g.topic.setFails(e.Entry, true)
 		time.Sleep(4 * time.Second)
-		c.Assert(e.Silence() > 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", e.Silence()))
+		c.Assert(e.UnansweredFor() > 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", e.UnansweredFor()))
 		g.topic.setFails(e.Entry, false)
 		time.Sleep(3 * time.Second) // the call on its way hangs to its end
-		c.Assert(e.Silence(), quicktest.Equals, time.Duration(0))
+		c.Assert(e.UnansweredFor(), quicktest.Equals, time.Duration(0))
 	})
 }
 
@@ -282,12 +282,12 @@
 		g := newGroup(t, 2)
 		time.Sleep(6 * time.Second)
 		old := g.leader(c)
-		old.SetLoose(true)
+		old.SetUnstored(true)
 		time.Sleep(50 * time.Millisecond)
-		c.Assert(old.LooseKept(), quicktest.IsTrue)
+		c.Assert(old.UnstoredPublished(), quicktest.IsTrue)
 		g.topic.setFails(old.Entry, true)
 		time.Sleep(3 * time.Second)
-		c.Assert(g.terms[1].Coarse, quicktest.IsTrue)
+		c.Assert(g.terms[1].PredecessorsUnstored, quicktest.IsTrue)
 	})
 }
 
@@ -298,7 +298,7 @@
 		g.topic.setFails(g.leader(c).Entry, true)
 		time.Sleep(3 * time.Second)
 		c.Assert(g.terms, quicktest.HasLen, 2)
-		c.Assert(g.terms[1].Coarse, quicktest.IsFalse)
+		c.Assert(g.terms[1].PredecessorsUnstored, quicktest.IsFalse)
 	})
 }
 
@@ -323,10 +323,10 @@
 		e, stop := run("2")
 		time.Sleep(100 * time.Millisecond)
 		c.Assert(e.Confirmed(), quicktest.IsTrue)
-		c.Assert((<-terms).Clean, quicktest.IsTrue) // nobody led before
+		c.Assert((<-terms).CleanHandover, quicktest.IsTrue) // nobody led before
 		again := <-terms
-		c.Assert(again.Clean, quicktest.IsFalse)
-		c.Assert(again.Alone, quicktest.IsTrue)
+		c.Assert(again.CleanHandover, quicktest.IsFalse)
+		c.Assert(again.Exclusive, quicktest.IsTrue)
 		stop()
 		time.Sleep(time.Second)
 	})
--- a/lead/outage.go
+++ b/lead/outage.go
@@ -17,8 +17,8 @@
 	return e.Clock.Since(e.began) < outageMemory || e.Clock.Since(e.outage) < outageMemory
 }
 
-// Silence returns for how long the store has not answered this entry, 0 while it does.
-func (e *Elector) Silence() time.Duration {
+// UnansweredFor returns for how long the store has not answered this entry, 0 while it does.
+func (e *Elector) UnansweredFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.failing.IsZero() {
@@ -27,8 +27,8 @@
 	return e.Clock.Since(e.failing)
 }
 
-// SetLoose publishes whether the leader may order what it can't keep.
-func (e *Elector) SetLoose(loose bool) {
+// SetUnstored publishes whether the leader may order what it can't keep.
+func (e *Elector) SetUnstored(loose bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.loose == loose {
@@ -44,16 +44,16 @@
 	}
 }
 
-// SetEarlier publishes whether a leader before this one may still give orders, and whether one may have ordered what it could
+// SetPredecessors publishes whether a leader before this one may still give orders, and whether one may have ordered what it could
 // not keep.
-func (e *Elector) SetEarlier(open, coarse bool) {
+func (e *Elector) SetPredecessors(open, coarse bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.open, e.coarse = open, coarse
 }
 
-// LooseKept says whether the next leader will know that this one may have ordered what it could not keep.
-func (e *Elector) LooseKept() bool {
+// UnstoredPublished says whether the next leader will know that this one may have ordered what it could not keep.
+func (e *Elector) UnstoredPublished() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.looseKept
--- a/lead/record.go
+++ b/lead/record.go
@@ -16,10 +16,10 @@
 	Fence int64
 	// Released says that the leader has given up the lead.
 	Released bool
-	// Loose says that the leader may have ordered what it could not keep.
-	Loose bool
-	// Open says that a leader before this one may still give orders; Coarse that one may have ordered what it could not keep.
-	Open, Coarse bool
+	// Unstored says that the leader may have ordered what it could not keep.
+	Unstored bool
+	// PredecessorsActive says that a leader before this one may still give orders; Coarse that one may have ordered what it could not keep.
+	PredecessorsActive, PredecessorsUnstored bool
 	// Weight is the largest of the leaders' so far.
 	Weight float64
 }
@@ -27,13 +27,13 @@
 // Term is a lead that was taken.
 type Term struct {
 	Number, Fence int64
-	// Coarse says that a leader before may have ordered what is not kept; Clean that the last one gave the lead up itself;
-	// Alone that all have surely stopped: the last one gave the lead up, or was an earlier life of this very process, and
+	// PredecessorsUnstored says that a leader before may have ordered what is not kept; Clean that the last one gave the lead up itself;
+	// Exclusive that all have surely stopped: the last one gave the lead up, or was an earlier life of this very process, and
 	// had told that those before it had stopped.
-	Coarse, Clean, Alone bool
-	// Renewed is when this entry read the newest renewal of the leader before; the zero time when there was none.
-	Renewed time.Time
+	PredecessorsUnstored, CleanHandover, Exclusive bool
+	// PredecessorRenewed is when this entry read the newest renewal of the leader before; the zero time when there was none.
+	PredecessorRenewed time.Time
 }
 
-// Raised returns the next fencing token above one of the term's, and false if that would be another term's.
-func (t Term) Raised(token int64) (int64, bool) { return token + 1, (token+1)>>fenceBits == t.Number }
+// NextToken returns the next fencing token above one of the term's, and false if that would be another term's.
+func (t Term) NextToken(token int64) (int64, bool) { return token + 1, (token+1)>>fenceBits == t.Number }
--- a/lead/rest_test.go
+++ b/lead/rest_test.go
@@ -68,7 +68,7 @@
 		took := time.Since(at)
 		c.Check(took < missedAfter+restFor+sizeDelay+2*spread+readWait, quicktest.IsTrue, quicktest.Commentf("after %v", took))
 		for range 3 {
-			electors["tiny"].Look() // never waits
+			electors["tiny"].ReadNow() // never waits
 		}
 	})
 }
--- a/lead/shared_test.go
+++ b/lead/shared_test.go
@@ -30,10 +30,10 @@
 			of := tp.of(name)
 			take := of.Append
 			of.Append = func(ctx context.Context, b feed.Batch) (int64, error) {
-				if end, err := take(ctx, b); err == nil || b.At < 0 {
+				if end, err := take(ctx, b); err == nil || b.ExpectedEnd < 0 {
 					return end, err
 				}
-				return int64(b.At) + 1, nil // the same token and number: the first answer again
+				return int64(b.ExpectedEnd) + 1, nil // the same token and number: the first answer again
 			}
 			return &Elector{Entry: name, Boot: "1", Topic: of, Weight: 1, Events: new(event.Ring), Serve: func(ctx context.Context, _ Term) { leads <- name; <-ctx.Done() }}
 		}
@@ -102,10 +102,10 @@
 			take, newest := of.Append, of.Newest
 			of.Append = func(ctx context.Context, b feed.Batch) (int64, error) {
 				end, err := take(ctx, b)
-				if err == nil && follower != "" && b.At >= 0 { // another one has followed before it is read back
+				if err == nil && follower != "" && b.ExpectedEnd >= 0 { // another one has followed before it is read back
 					value, encoded := cbor.Marshal(Record{Entry: follower, Boot: "1", Term: 2, Fence: 2 << fenceBits})
 					c.Assert(encoded, quicktest.IsNil)
-					return take(ctx, feed.Batch{At: -1, Records: []feed.KeyedRecord{{Key: key, Value: value}}})
+					return take(ctx, feed.Batch{ExpectedEnd: -1, Records: []feed.KeyedRecord{{Key: key, Value: value}}})
 				}
 				return end, err
 			}
--- a/org/directory.go
+++ b/org/directory.go
@@ -51,8 +51,8 @@
 	Cap job.Need
 }
 
-// Covers says whether a total is within the cap.
-func (o *Organisation) Covers(total job.Need) bool {
+// WithinCap says whether a total is within the cap.
+func (o *Organisation) WithinCap(total job.Need) bool {
 	return within(total, o.Cap, total)
 }
 
@@ -94,7 +94,7 @@
 		if math.IsNaN(o.Weight) || o.Weight <= 0 || math.IsInf(o.Weight, 0) {
 			wrong("its weight is not above 0", "give a positive number")
 		}
-		if o.Cap.Lacks() {
+		if o.Cap.AnyNegative() {
 			wrong("its cap is negative", "give a positive figure, or 0 for no limit")
 		}
 		for _, k := range o.Keys {
@@ -119,8 +119,8 @@
 	return len(d.byName)
 }
 
-// Of returns the organisation with the name, or nil.
-func (d *Directory) Of(name string) *Organisation {
+// ByName returns the organisation with the name, or nil.
+func (d *Directory) ByName(name string) *Organisation {
 	if d == nil {
 		return nil
 	}
@@ -140,18 +140,18 @@
 	return false
 }
 
-// Who returns the organisation that a key belongs to, or nil.
+// ByKey returns the organisation that a key belongs to, or nil.
 //
 // What a caller can measure tells it of the digest of what it has shown, which it knows, and nothing of others' keys.
-func (d *Directory) Who(key string) *Organisation {
+func (d *Directory) ByKey(key string) *Organisation {
 	if d == nil || key == "" || len(key) > maxKey {
 		return nil
 	}
-	return d.Owner(DigestOf(key))
+	return d.ByDigest(DigestOf(key))
 }
 
-// Owner returns the organisation that a key with the digest belongs to, or nil.
-func (d *Directory) Owner(digest Digest) *Organisation {
+// ByDigest returns the organisation that a key with the digest belongs to, or nil.
+func (d *Directory) ByDigest(digest Digest) *Organisation {
 	if d == nil {
 		return nil
 	}
--- a/org/directory_test.go
+++ b/org/directory_test.go
@@ -31,15 +31,15 @@
 		Organisation{Name: "none", Weight: 3})
 	for key, want := range map[string]string{"key-a1": "a", "key-a2": "a", long: "b", long + "k": "", "": "", "key-a": "", "key-a1 ": "", "KEY-A1": ""} {
 		got := ""
-		if o := d.Who(key); o != nil {
+		if o := d.ByKey(key); o != nil {
 			got = o.Name
 		}
 		c.Check(got, quicktest.Equals, want, quicktest.Commentf("key %.20q", key))
 	}
 	c.Assert(d.Len(), quicktest.Equals, 3)
 	var none *Directory
-	c.Assert(none.Who("key-a1"), quicktest.IsNil)
-	c.Assert(none.Of("a"), quicktest.IsNil)
+	c.Assert(none.ByKey("key-a1"), quicktest.IsNil)
+	c.Assert(none.ByName("a"), quicktest.IsNil)
 }
 
 func TestABrokenConfigurationIsToldWithItsRemedyAndWithoutItsKeys(t *testing.T) {
@@ -74,7 +74,7 @@
 func TestTheSameKeyTwiceInOneOrganisationIsOne(t *testing.T) {
 	c := quicktest.New(t)
 	d := directory(c, Organisation{Name: "a", Weight: 1, Keys: []Digest{DigestOf("k"), DigestOf("k")}})
-	c.Assert(d.Who("k").Name, quicktest.Equals, "a")
+	c.Assert(d.ByKey("k").Name, quicktest.Equals, "a")
 }
 
 func TestDigestsInHexadecimal(t *testing.T) {
@@ -93,7 +93,7 @@
 // may have been withdrawn must not open for ever.
 func TestWhatAnEntryThatDoesNotSeeTheConfigurationAnswers(t *testing.T) {
 	c := quicktest.New(t)
-	p := Patience{Unknown: 3 * time.Second, Known: 9 * time.Second}
+	p := StalenessLimits{Unknown: 3 * time.Second, Known: 9 * time.Second}
 	for _, test := range [...]struct {
 		known bool
 		age   time.Duration
@@ -102,10 +102,10 @@
 		{true, 0, Admitted}, {true, 9 * time.Second, Admitted}, {true, 9*time.Second + 1, CantTell}, {true, math.MaxInt64, CantTell},
 		{false, 0, Refused}, {false, 3 * time.Second, Refused}, {false, 3*time.Second + 1, CantTell}, {false, math.MaxInt64, CantTell},
 	} {
-		c.Check(p.Judge(test.known, test.age), quicktest.Equals, test.want, quicktest.Commentf("known=%t age=%v", test.known, test.age))
+		c.Check(p.Check(test.known, test.age), quicktest.Equals, test.want, quicktest.Commentf("known=%t age=%v", test.known, test.age))
 	}
-	c.Check(Patience{}.Judge(true, time.Hour), quicktest.Equals, Admitted)
-	c.Check(Patience{}.Judge(false, time.Hour), quicktest.Equals, Refused)
+	c.Check(StalenessLimits{}.Check(true, time.Hour), quicktest.Equals, Admitted)
+	c.Check(StalenessLimits{}.Check(false, time.Hour), quicktest.Equals, Refused)
 }
 
 func TestTheKeyOfAHeader(t *testing.T) {
@@ -125,7 +125,7 @@
 	quicktest.Assert(b, err, quicktest.IsNil)
 	b.ReportAllocs()
 	for b.Loop() {
-		if d.Who("key-of-twenty-b-177") == nil {
+		if d.ByKey("key-of-twenty-b-177") == nil {
 			b.Fatal("unknown")
 		}
 	}
@@ -134,5 +134,5 @@
 func TestALookUpAllocatesNothing(t *testing.T) {
 	c := quicktest.New(t)
 	d := directory(c, Organisation{Name: "a", Weight: 1, Keys: []Digest{DigestOf("key-of-twenty-bytes-")}})
-	c.Assert(testing.AllocsPerRun(100, func() { d.Who("key-of-twenty-bytes-"); d.Who("another") }), quicktest.Equals, 0.0)
+	c.Assert(testing.AllocsPerRun(100, func() { d.ByKey("key-of-twenty-bytes-"); d.ByKey("another") }), quicktest.Equals, 0.0)
 }
--- a/org/ledger.go
+++ b/org/ledger.go
@@ -30,7 +30,7 @@
 func (l *Ledger) SetDirectory(d *Directory) {
 	if l.directory != nil {
 		for name, o := range l.directory.byName {
-			if d.Of(name) != nil {
+			if d.ByName(name) != nil {
 				continue
 			}
 			if l.former == nil {
@@ -42,9 +42,9 @@
 	l.directory = d
 }
 
-// Of returns the organisation as the version in force has it, or as it last was; nil for one that was never named.
-func (l *Ledger) Of(name string) *Organisation {
-	if o := l.directory.Of(name); o != nil {
+// Organisation returns the organisation as the version in force has it, or as it last was; nil for one that was never named.
+func (l *Ledger) Organisation(name string) *Organisation {
+	if o := l.directory.ByName(name); o != nil {
 		return o
 	}
 	return l.former[name]
@@ -65,8 +65,8 @@
 	return a
 }
 
-// Take counts a run in. A nil Ledger counts nothing.
-func (l *Ledger) Take(name string, n job.Need) {
+// Acquire counts a run in. A nil Ledger counts nothing.
+func (l *Ledger) Acquire(name string, n job.Need) {
 	if l == nil || name == "" {
 		return
 	}
@@ -74,8 +74,8 @@
 	a.held, a.runs = a.held.Plus(n), a.runs+1
 }
 
-// Return counts a run out that has surely ended, or never began.
-func (l *Ledger) Return(name string, n job.Need) {
+// Release counts a run out that has surely ended, or never began.
+func (l *Ledger) Release(name string, n job.Need) {
 	if l == nil || name == "" {
 		return
 	}
@@ -97,10 +97,10 @@
 // Names returns the organisations that have something running, in the order of their names.
 func (l *Ledger) Names() []string { return slices.Sorted(maps.Keys(l.accounts)) }
 
-// Over says whether the organisation has more running than it may, counting the run of that need, which may be the only one: its order must
+// OverCap says whether the organisation has more running than it may, counting the run of that need, which may be the only one: its order must
 // not leave then. It happens when a cap is lowered between a decision and its order.
-func (l *Ledger) Over(name string, n job.Need) bool {
-	o := l.Of(name)
+func (l *Ledger) OverCap(name string, n job.Need) bool {
+	o := l.Organisation(name)
 	if o == nil {
 		return false
 	}
@@ -108,8 +108,8 @@
 	return runs > 1 && !within(held, o.Cap, n)
 }
 
-// Bounded says whether any organisation has a cap.
-func (l *Ledger) Bounded() bool {
+// HasCaps says whether any organisation has a cap.
+func (l *Ledger) HasCaps() bool {
 	for _, o := range l.former {
 		if o.Cap != (job.Need{}) {
 			return true
@@ -149,7 +149,7 @@
 	if d == nil || name == "" || runs <= 0 {
 		return true
 	}
-	o := d.ledger.Of(name)
+	o := d.ledger.Organisation(name)
 	if o == nil || o.Cap == (job.Need{}) {
 		return true
 	}
@@ -161,11 +161,11 @@
 	return within(held.Plus(unknown).Plus(n.Times(runs)), o.Cap, n)
 }
 
-// Take adds runs to the draft, Return takes them out again.
-func (d *Draft) Take(name string, n job.Need) { d.change(name, n, 1) }
+// Acquire adds runs to the draft, Return takes them out again.
+func (d *Draft) Acquire(name string, n job.Need) { d.change(name, n, 1) }
 
-// Return takes out a run that Take had added.
-func (d *Draft) Return(name string, n job.Need) { d.change(name, job.Need{}.Minus(n), -1) }
+// Release takes out a run that Take had added.
+func (d *Draft) Release(name string, n job.Need) { d.change(name, job.Need{}.Minus(n), -1) }
 
 func (d *Draft) change(name string, n job.Need, runs int) {
 	if d == nil || name == "" {
@@ -197,7 +197,7 @@
 	if d == nil {
 		return 1
 	}
-	if o := d.ledger.Of(name); o != nil {
+	if o := d.ledger.Organisation(name); o != nil {
 		return o.Weight
 	}
 	return 1
--- a/org/ledger_test.go
+++ b/org/ledger_test.go
@@ -48,7 +48,7 @@
 			c := quicktest.New(t)
 			l := ledgerOf(c, test.limit)
 			for _, n := range test.held {
-				l.Take("a", n)
+				l.Acquire("a", n)
 			}
 			d := l.Draft(func(string) job.Need { return test.unknown })
 			c.Assert(d.Admits("a", test.more, test.runs), quicktest.Equals, test.want)
@@ -66,10 +66,10 @@
 	d := l.Draft(nil)
 	for range 3 {
 		c.Assert(d.Admits("a", need(1000, 0), 1), quicktest.IsTrue)
-		d.Take("a", need(1000, 0))
+		d.Acquire("a", need(1000, 0))
 	}
 	c.Assert(d.Admits("a", need(1000, 0), 1), quicktest.IsFalse)
-	d.Return("a", need(1000, 0))
+	d.Release("a", need(1000, 0))
 	c.Assert(d.Admits("a", need(1000, 0), 1), quicktest.IsTrue)
 	held, runs := l.Held("a")
 	c.Assert(held, quicktest.Equals, need(0, 0))
@@ -79,24 +79,24 @@
 func TestALoweredCapStopsNothingAndHoldsOrdersBack(t *testing.T) {
 	c := quicktest.New(t)
 	l := ledgerOf(c, need(3000, 0))
-	l.Take("a", need(1000, 0))
-	l.Take("a", need(1000, 0))
-	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsFalse)
+	l.Acquire("a", need(1000, 0))
+	l.Acquire("a", need(1000, 0))
+	c.Assert(l.OverCap("a", need(1000, 0)), quicktest.IsFalse)
 	l.SetDirectory(directory(c, Organisation{Name: "a", Weight: 2, Cap: need(1500, 0)}))
-	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsTrue)
-	l.Return("a", need(1000, 0))
-	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsFalse)
+	c.Assert(l.OverCap("a", need(1000, 0)), quicktest.IsTrue)
+	l.Release("a", need(1000, 0))
+	c.Assert(l.OverCap("a", need(1000, 0)), quicktest.IsFalse)
 	l.SetDirectory(directory(c, Organisation{Name: "a", Weight: 2, Cap: need(500, 0)}))
-	c.Assert(l.Over("a", need(1000, 0)), quicktest.IsFalse, quicktest.Commentf("it is alone"))
+	c.Assert(l.OverCap("a", need(1000, 0)), quicktest.IsFalse, quicktest.Commentf("it is alone"))
 }
 
 func TestAnOrganisationThatWasTakenAwayKeepsItsCap(t *testing.T) {
 	c := quicktest.New(t)
 	l := ledgerOf(c, need(1000, 0))
-	l.Take("a", need(1000, 0))
+	l.Acquire("a", need(1000, 0))
 	l.SetDirectory(directory(c))
 	c.Assert(l.Draft(nil).Admits("a", need(1000, 0), 1), quicktest.IsFalse)
-	c.Assert(l.Bounded(), quicktest.IsTrue)
+	c.Assert(l.HasCaps(), quicktest.IsTrue)
 }
 
 // TestTheLedgerIsWhatWasTakenAndNotReturned compares random histories with a plain sum.
@@ -108,11 +108,11 @@
 	for range 5000 {
 		name := []string{"a", "free", "gone", ""}[r.IntN(4)]
 		if held := runs[name]; len(held) > 0 && r.IntN(2) == 0 {
-			l.Return(name, held[0])
+			l.Release(name, held[0])
 			runs[name] = held[1:]
 		} else {
 			n := need(r.IntN(100), r.IntN(100))
-			l.Take(name, n)
+			l.Acquire(name, n)
 			runs[name] = append(runs[name], n)
 		}
 		var sum job.Need
@@ -135,10 +135,10 @@
 	at := func(ms int) time.Time { return time.UnixMilli(int64(1e6 + ms)) }
 	var beyond []bool
 	for _, ms := range [...]int{0, 100, 200, 300, 400, 999, 1000, 1001, 1100, 1150} {
-		beyond = append(beyond, r.Beyond(o, at(ms)))
+		beyond = append(beyond, r.Exceeded(o, at(ms)))
 	}
 	c.Assert(beyond, quicktest.DeepEquals, []bool{false, false, false, true, true, true, false, true, false, true})
-	c.Assert(r.Beyond(nil, at(0)), quicktest.IsFalse)
+	c.Assert(r.Exceeded(nil, at(0)), quicktest.IsFalse)
 	r.Forget(nil)
 	c.Assert(r.sent, quicktest.HasLen, 0)
 }
@@ -148,10 +148,10 @@
 	c.Assert(Dominant(need(10, 30), need(100, 100)), quicktest.Equals, 0.3)
 	c.Assert(Dominant(need(10, 30), need(100, 0)), quicktest.Equals, 0.1)
 	l := ledgerOf(c, need(0, 0))
-	l.Take("a", need(50, 10))
+	l.Acquire("a", need(50, 10))
 	d := l.Draft(nil)
 	c.Assert(d.Share("a", need(100, 100)), quicktest.Equals, 0.25)
-	d.Take("a", need(0, 90))
+	d.Acquire("a", need(0, 90))
 	c.Assert(d.Share("a", need(100, 100)), quicktest.Equals, 0.5)
 	c.Assert(d.Share("", need(100, 100)), quicktest.Equals, 0.0)
 }
--- a/org/patience.go
+++ b/org/patience.go
@@ -20,8 +20,8 @@
 	CantTell
 )
 
-// Patience is for how long an entry that can't read the configuration goes by the version that it has.
-type Patience struct {
+// StalenessLimits is for how long an entry that can't read the configuration goes by the version that it has.
+type StalenessLimits struct {
 	// Unknown is how old its newest look may be for a key, or a queue, that is not in the version to be surely unknown: what was published
 	// since is still to come into force. It is the time in which a configuration must be in force; always when 0.
 	Unknown time.Duration
@@ -30,8 +30,8 @@
 	Known time.Duration
 }
 
-// Judge returns the verdict of a key that is in the version or not, given how old the newest look at the configuration is.
-func (p Patience) Judge(known bool, age time.Duration) Verdict {
+// Check returns the verdict of a key that is in the version or not, given how old the newest look at the configuration is.
+func (p StalenessLimits) Check(known bool, age time.Duration) Verdict {
 	switch {
 	case known && (p.Known == 0 || age <= p.Known):
 		return Admitted
--- a/org/rate.go
+++ b/org/rate.go
@@ -14,9 +14,9 @@
 // rateSpan is the length of the sliding window that the users' rule counts jobs in.
 const rateSpan = time.Second
 
-// Beyond takes note of a job and says whether it is beyond the rate; times must not fall by more than a moment. One that is
+// Exceeded takes note of a job and says whether it is beyond the rate; times must not fall by more than a moment. One that is
 // beyond does not count against those that follow.
-func (r *Rate) Beyond(o *Organisation, at time.Time) bool {
+func (r *Rate) Exceeded(o *Organisation, at time.Time) bool {
 	if o == nil {
 		return false
 	}
@@ -38,7 +38,7 @@
 // Forget drops the organisations that no configuration names any more.
 func (r *Rate) Forget(d *Directory) {
 	for name := range r.sent {
-		if d.Of(name) == nil {
+		if d.ByName(name) == nil {
 			delete(r.sent, name)
 		}
 	}
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -50,8 +50,8 @@
 	Serve func(ctx context.Context, from Identity, open *peerpb.Open, s *Stream)
 	// Dial opens a connection; a net.Dialer's when nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Cut says that no bytes may pass to or from the address; a fault switch of tests, nil in operation.
-	Cut func(entry string) bool
+	// Partitioned says that no bytes may pass to or from the address; a fault switch of tests, nil in operation.
+	Partitioned func(entry string) bool
 	// Events receives link events.
 	Events *event.Ring
 	// Meter counts the bytes of all links; may be nil.
@@ -194,7 +194,7 @@
 	return <-next
 }
 
-func (m *Mesh) cut(entry string) bool { return m.Cut != nil && m.Cut(entry) }
+func (m *Mesh) cut(entry string) bool { return m.Partitioned != nil && m.Partitioned(entry) }
 
 // SetPeers says to which peers links are to be kept; links to others are closed.
 func (m *Mesh) SetPeers(ctx context.Context, peers []Address) {
@@ -269,8 +269,8 @@
 	l.refused = 0
 }
 
-// Gone returns the peers whose hosts answer that nothing listens there any more, in order of their names.
-func (m *Mesh) Gone() []string {
+// ExitedPeers returns the peers whose hosts answer that nothing listens there any more, in order of their names.
+func (m *Mesh) ExitedPeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var gone []string
@@ -330,8 +330,8 @@
 	return c
 }
 
-// Up returns the peers with an open link, in order of their names.
-func (m *Mesh) Up() []string {
+// ConnectedPeers returns the peers with an open link, in order of their names.
+func (m *Mesh) ConnectedPeers() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var up []string
--- a/place/apart.go
+++ b/place/apart.go
@@ -9,22 +9,22 @@
 	"rackstep.dev/org"
 )
 
-// Trials bounds how many tasks that may end their worker's life are at work in a pool and not cleared yet.
-type Trials struct {
-	// Most is how many more may begin.
-	Most int
-	// Risk is how many lives more may be lost at once, on the average; one trial may always begin where none goes on.
-	Risk float64
-	// Going says that some go on already.
-	Going bool
+// TrialLimits bounds how many tasks that may end their worker's life are at work in a pool and not cleared yet.
+type TrialLimits struct {
+	// Max is how many more may begin.
+	Max int
+	// MaxRisk is how many lives more may be lost at once, on the average; one trial may always begin where none goes on.
+	MaxRisk float64
+	// Ongoing says that some go on already.
+	Ongoing bool
 	// Draft is what organisations may have running; nothing bounds them when nil.
 	Draft *org.Draft
 }
 
-// Apart chooses workers for the tasks that may end their worker's life: the emptiest each, never one with lasting tasks while another
+// PlaceSuspects chooses workers for the tasks that may end their worker's life: the emptiest each, never one with lasting tasks while another
 // could hold it. It returns the rooms that are left for others; nothing else starts where such a task is tried, so that what happens
 // there tells of it alone.
-func Apart(groups []*Group, rooms []*Room, trials Trials) ([]Choice, []*Room) {
+func PlaceSuspects(groups []*Group, rooms []*Candidate, trials TrialLimits) ([]Choice, []*Candidate) {
 	var out []Choice
 	for _, g := range groups {
 		step := &g.Job.Spec.Steps[g.Step]
@@ -32,10 +32,10 @@
 			continue // its members start together or not at all
 		}
 		for _, t := range g.Tasks {
-			if !t.Suspect || t.Held || !trials.Draft.Admits(g.organisation(), step.Need, 1) {
+			if !t.Suspect || t.BackingOff || !trials.Draft.Admits(g.organisation(), step.Need, 1) {
 				continue
 			}
-			if trials.Most <= 0 || (trials.Going && t.Risk() > trials.Risk) {
+			if trials.Max <= 0 || (trials.Ongoing && t.Risk() > trials.MaxRisk) {
 				return out, rooms
 			}
 			r, fits := quietest(g, step, rooms)
@@ -43,26 +43,26 @@
 				continue
 			}
 			rooms = without(rooms, r)
-			trials.Most--
-			trials.Risk -= t.Risk()
-			trials.Going = true
-			if !fits || r.Fresh {
+			trials.Max--
+			trials.MaxRisk -= t.Risk()
+			trials.Ongoing = true
+			if !fits || r.RecentStart {
 				continue // kept for it until it has space, and what began there last is not in question
 			}
 			take(g, r)
-			trials.Draft.Take(g.organisation(), step.Need)
-			out = append(out, Choice{Task: t, Room: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack, Apart: true})
+			trials.Draft.Acquire(g.organisation(), step.Need)
+			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack, Isolated: true})
 		}
 	}
 	return out, rooms
 }
 
 // quietest returns the room in which least is lost with the task, and whether it has space now; nil when no room could ever hold it.
-func quietest(g *Group, step *job.Step, rooms []*Room) (*Room, bool) {
+func quietest(g *Group, step *job.Step, rooms []*Candidate) (*Candidate, bool) {
 	need := charge(step)
-	var best *Room
+	var best *Candidate
 	for _, r := range rooms {
-		if atLeast(r.Worker.Room, need) && allowed(g, step, r) && (best == nil || quieter(r, best, need)) {
+		if atLeast(r.Worker.Capacity, need) && allowed(g, step, r) && (best == nil || quieter(r, best, need)) {
 			best = r
 		}
 	}
@@ -70,19 +70,19 @@
 }
 
 // quieter says whether less is lost with a than with b: nothing that lasts, then fewer others, which is more space.
-func quieter(a, b *Room, need job.Need) bool {
+func quieter(a, b *Candidate, need job.Need) bool {
 	if x, y := a.Serving+a.Filling > 0, b.Serving+b.Filling > 0; x != y {
 		return y
 	}
 	if x, y := atLeast(a.Free, need), atLeast(b.Free, need); x != y {
 		return x
 	}
-	if a.Fresh != b.Fresh {
-		return b.Fresh
+	if a.RecentStart != b.RecentStart {
+		return b.RecentStart
 	}
 	return a.freePart() > b.freePart()
 }
 
-func without(rooms []*Room, r *Room) []*Room {
-	return slices.DeleteFunc(slices.Clone(rooms), func(o *Room) bool { return o == r })
+func without(rooms []*Candidate, r *Candidate) []*Candidate {
+	return slices.DeleteFunc(slices.Clone(rooms), func(o *Candidate) bool { return o == r })
 }
--- a/place/apart_test.go
+++ b/place/apart_test.go
@@ -15,8 +15,8 @@
 )
 
 // apartRoom returns a room of four tasks of which some are free.
-func apartRoom(name string, free int) *place.Room {
-	return &place.Room{Worker: &work.Worker{Life: name, Room: job.Need{MilliCPU: 4000, MemoryMB: 400}}, Free: job.Need{MilliCPU: 1000 * free, MemoryMB: 100 * free}}
+func apartRoom(name string, free int) *place.Candidate {
+	return &place.Candidate{Worker: &work.Worker{Life: name, Capacity: job.Need{MilliCPU: 4000, MemoryMB: 400}}, Free: job.Need{MilliCPU: 1000 * free, MemoryMB: 100 * free}}
 }
 
 // suspects returns a group of tasks that may end their worker's life, each one of so many.
@@ -24,7 +24,7 @@
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: count, Need: job.Need{MilliCPU: 1000, MemoryMB: 100}}}}, time.Unix(100, 0))
 	g := &place.Group{Job: j}
 	for i := range j.Tasks {
-		j.Lose(&j.Tasks[i], job.LostRun{Run: 1, Suspects: among})
+		j.RecordLost(&j.Tasks[i], job.LostRun{Run: 1, Suspects: among})
 		g.Tasks = append(g.Tasks, &j.Tasks[i])
 	}
 	return g
@@ -34,32 +34,32 @@
 	lasting := apartRoom("lasting", 4)
 	lasting.Serving = 1
 	fresh := apartRoom("fresh", 4)
-	fresh.Fresh = true
+	fresh.RecentStart = true
 	for _, x := range [...]struct {
 		name   string
-		rooms  []*place.Room
+		rooms  []*place.Candidate
 		group  *place.Group
-		trials place.Trials
+		trials place.TrialLimits
 		want   []string
 		left   int
 	}{
-		{"the emptiest", []*place.Room{apartRoom("a", 1), apartRoom("b", 3)}, suspects(1, 1), place.Trials{Most: 2, Risk: 1}, []string{"b"}, 1},
-		{"never beside what lasts while there is another", []*place.Room{lasting, apartRoom("a", 1)}, suspects(1, 1), place.Trials{Most: 2, Risk: 1}, []string{"a"}, 1},
-		{"one waits rather than start beside what lasts", []*place.Room{lasting, apartRoom("a", 0)}, suspects(1, 1), place.Trials{Most: 2, Risk: 1}, nil, 1},
-		{"beside what lasts where there is no other", []*place.Room{lasting}, suspects(1, 1), place.Trials{Most: 2, Risk: 1}, []string{"lasting"}, 0},
-		{"one waits until what began last is not in question", []*place.Room{fresh}, suspects(1, 1), place.Trials{Most: 2, Risk: 1}, nil, 0},
-		{"one a worker", []*place.Room{apartRoom("a", 4), apartRoom("b", 3)}, suspects(3, 10), place.Trials{Most: 3, Risk: 1}, []string{"a", "b"}, 0},
-		{"as many as may", []*place.Room{apartRoom("a", 4), apartRoom("b", 3), apartRoom("c", 2)}, suspects(3, 10), place.Trials{Most: 2, Risk: 1}, []string{"a", "b"}, 1},
-		{"no more risk than may be", []*place.Room{apartRoom("a", 4), apartRoom("b", 3), apartRoom("c", 2)}, suspects(3, 2), place.Trials{Most: 3, Risk: 1}, []string{"a", "b"}, 1},
-		{"one may always start", []*place.Room{apartRoom("a", 4)}, suspects(1, 1), place.Trials{Most: 1, Risk: 0.2}, []string{"a"}, 0},
-		{"none while another goes on with all the risk", []*place.Room{apartRoom("a", 4)}, suspects(1, 1), place.Trials{Most: 1, Risk: 0.2, Going: true}, nil, 1},
+		{"the emptiest", []*place.Candidate{apartRoom("a", 1), apartRoom("b", 3)}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, []string{"b"}, 1},
+		{"never beside what lasts while there is another", []*place.Candidate{lasting, apartRoom("a", 1)}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, []string{"a"}, 1},
+		{"one waits rather than start beside what lasts", []*place.Candidate{lasting, apartRoom("a", 0)}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, nil, 1},
+		{"beside what lasts where there is no other", []*place.Candidate{lasting}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, []string{"lasting"}, 0},
+		{"one waits until what began last is not in question", []*place.Candidate{fresh}, suspects(1, 1), place.TrialLimits{Max: 2, MaxRisk: 1}, nil, 0},
+		{"one a worker", []*place.Candidate{apartRoom("a", 4), apartRoom("b", 3)}, suspects(3, 10), place.TrialLimits{Max: 3, MaxRisk: 1}, []string{"a", "b"}, 0},
+		{"as many as may", []*place.Candidate{apartRoom("a", 4), apartRoom("b", 3), apartRoom("c", 2)}, suspects(3, 10), place.TrialLimits{Max: 2, MaxRisk: 1}, []string{"a", "b"}, 1},
+		{"no more risk than may be", []*place.Candidate{apartRoom("a", 4), apartRoom("b", 3), apartRoom("c", 2)}, suspects(3, 2), place.TrialLimits{Max: 3, MaxRisk: 1}, []string{"a", "b"}, 1},
+		{"one may always start", []*place.Candidate{apartRoom("a", 4)}, suspects(1, 1), place.TrialLimits{Max: 1, MaxRisk: 0.2}, []string{"a"}, 0},
+		{"none while another goes on with all the risk", []*place.Candidate{apartRoom("a", 4)}, suspects(1, 1), place.TrialLimits{Max: 1, MaxRisk: 0.2, Ongoing: true}, nil, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			choices, left := place.Apart([]*place.Group{x.group}, x.rooms, x.trials)
+			choices, left := place.PlaceSuspects([]*place.Group{x.group}, x.rooms, x.trials)
 			var got []string
 			for _, y := range choices {
-				quicktest.Assert(t, y.Apart, quicktest.IsTrue)
-				got = append(got, y.Room.Worker.Life)
+				quicktest.Assert(t, y.Isolated, quicktest.IsTrue)
+				got = append(got, y.Candidate.Worker.Life)
 			}
 			quicktest.Assert(t, got, quicktest.DeepEquals, x.want)
 			quicktest.Assert(t, len(left), quicktest.Equals, x.left)
@@ -71,7 +71,7 @@
 	c := quicktest.New(t)
 	g := suspects(2, 2)
 	g.Tasks[1].Suspect = false
-	choices := place.Tasks([]*place.Group{g}, []*place.Room{apartRoom("a", 4)}, nil)
+	choices := place.Tasks([]*place.Group{g}, []*place.Candidate{apartRoom("a", 4)}, nil)
 	c.Assert(choices, quicktest.HasLen, 1)
 	c.Assert(fmt.Sprint(choices[0].Task.Index), quicktest.Equals, "1")
 }
--- a/place/decide.go
+++ b/place/decide.go
@@ -14,10 +14,10 @@
 
 // Options bound a decision.
 type Options struct {
-	// Most is the number of starts that one decision returns; all when 0.
-	Most int
-	// Until returns how long the instance stays in service before a plan takes it out, and false when no plan will.
-	Until func(instance string) (time.Duration, bool)
+	// MaxStarts is the number of starts that one decision returns; all when 0.
+	MaxStarts int
+	// UntilDrain returns how long the instance stays in service before a plan takes it out, and false when no plan will.
+	UntilDrain func(instance string) (time.Duration, bool)
 	// Margin multiplies declared run times, which are far off; what the tables have learned of each pool when 0.
 	Margin float64
 	// FirstFit takes the first instance with room, as a baseline to measure against.
@@ -43,7 +43,7 @@
 	var out Decisions
 	for {
 		j := d.nextJob()
-		if j == nil || (o.Most > 0 && len(out.Starts) == o.Most) {
+		if j == nil || (o.MaxStarts > 0 && len(out.Starts) == o.MaxStarts) {
 			return out
 		}
 		r := d.room(j)
@@ -135,8 +135,8 @@
 		}
 		cores, memory := d.t.Held(id)
 		r := &room{in: in, cores: in.Cores - cores, memory: in.MemoryMB - memory}
-		if d.o.Until != nil {
-			r.until, r.soon = d.o.Until(id)
+		if d.o.UntilDrain != nil {
+			r.until, r.soon = d.o.UntilDrain(id)
 		}
 		d.pools[in.Pool] = append(d.pools[in.Pool], r)
 	}
--- a/place/measure.go
+++ b/place/measure.go
@@ -9,8 +9,8 @@
 	"rackstep.dev/fleet"
 )
 
-// Seen is what the platform has reported of one running attempt; reports lag.
-type Seen struct {
+// Usage is what the platform has reported of one running attempt; reports lag.
+type Usage struct {
 	// Cores and MemoryMB are the most of the latest reports.
 	Cores    float64
 	MemoryMB int
@@ -33,7 +33,7 @@
 //
 // More is believed at once, less only of an attempt that has run for a while. A job that is held to fewer cores shows
 // nothing of what it would use.
-func Measured(j *fleet.Job, s Seen) (fleet.Measure, bool) {
+func Measured(j *fleet.Job, s Usage) (fleet.Measure, bool) {
 	charged := j.Charged()
 	want := fleet.Measure{Job: j.ID, Attempt: j.Attempt, Cores: withMargin(s.Cores), MemoryMB: withMargin(float64(s.MemoryMB))}
 	if j.Limit > 0 || j.State != fleet.JobRunning {
--- a/place/outlook.go
+++ b/place/outlook.go
@@ -11,9 +11,9 @@
 type Estimate struct {
 	// From is when the job was handed in, Aim the time from then within which it earns all.
 	From time.Time
-	Aim  time.Duration
-	// Whole is how long all of it takes where nothing waits, Left how long what is left of it does.
-	Whole, Left time.Duration
+	Target  time.Duration
+	// Total is how long all of it takes where nothing waits, Left how long what is left of it does.
+	Total, Remaining time.Duration
 	// Density is what the job earns for each core-second that it still needs, if it is on time.
 	Density float64
 }
@@ -49,13 +49,13 @@
 // Whether a job will be in time is a chance and no line: an estimate is off by up to three times, and a job that can just be in
 // time goes before one that earns the same and can wait.
 func (e Estimate) At(now time.Time) Outlook {
-	over := e.From.Add(e.Aim).Sub(now) - e.Left
-	lost := over + (lateFactor-1)*e.Aim
-	unsure := time.Duration(unsurePart*float64(e.Left)) + unsureLeast
+	over := e.From.Add(e.Target).Sub(now) - e.Remaining
+	lost := over + (lateFactor-1)*e.Target
+	unsure := time.Duration(unsurePart*float64(e.Remaining)) + unsureLeast
 	inTime := chance(over+lenient, unsure)
 	late := (1 - inTime) * chance(lost, unsure)
 	calm := 0.0
-	if spare := e.Aim - e.Whole; spare > 0 {
+	if spare := e.Target - e.Total; spare > 0 {
 		calm = min(max(over.Seconds()/spare.Seconds(), 0), 1)
 	}
 	return Outlook{Slack: over, Expected: e.Density * (inTime*(1-patient*calm) + latePart*late)}
--- a/place/outlook_test.go
+++ b/place/outlook_test.go
@@ -14,7 +14,7 @@
 	now := time.Unix(100, 0)
 	// Of two seconds' work, with an aim of four; age is how long ago it was handed in.
 	expected := func(age, left time.Duration, density float64) float64 {
-		e := Estimate{From: now.Add(-age), Aim: 4 * time.Second, Whole: 2 * time.Second, Left: left, Density: density}
+		e := Estimate{From: now.Add(-age), Target: 4 * time.Second, Total: 2 * time.Second, Remaining: left, Density: density}
 		return e.At(now).Expected
 	}
 	for _, x := range [...]struct {
--- a/place/overload_test.go
+++ b/place/overload_test.go
@@ -54,7 +54,7 @@
 type loadEnd struct {
 	at   time.Time
 	of   *loadJob
-	room *Room
+	room *Candidate
 	need job.Need
 }
 
@@ -128,13 +128,13 @@
 	e := Estimate{From: x.at}
 	needed := 0.0
 	for i, d := range x.guess {
-		e.Whole += d
+		e.Total += d
 		if i >= x.step {
-			e.Left += d
+			e.Remaining += d
 			needed += float64(x.left[i]) * d.Seconds() * float64(x.job.Spec.Steps[i].Need.MilliCPU) / 1000
 		}
 	}
-	e.Aim = time.Duration(loadStretch*float64(e.Whole)) + loadTarget
+	e.Target = time.Duration(loadStretch*float64(e.Total)) + loadTarget
 	e.Density = x.worth / max(needed, 0.01)
 	return e
 }
@@ -179,10 +179,10 @@
 
 // playJobs plays the jobs on their instances; organisations share them by the ledger, unless it is nil.
 func playJobs(jobs []*loadJob, away, for_ time.Duration, ledger *org.Ledger) {
-	var rooms []*Room
+	var rooms []*Candidate
 	for i := range loadInstances {
-		w := &work.Worker{Life: fmt.Sprint(i), Room: job.Need{MilliCPU: 1000 * loadCores, MemoryMB: 1 << 20}}
-		rooms = append(rooms, &Room{Worker: w, Free: w.Room})
+		w := &work.Worker{Life: fmt.Sprint(i), Capacity: job.Need{MilliCPU: 1000 * loadCores, MemoryMB: 1 << 20}}
+		rooms = append(rooms, &Candidate{Worker: w, Free: w.Capacity})
 	}
 	var ends []loadEnd
 	begin := time.Unix(0, 0)
@@ -194,7 +194,7 @@
 			ends = ends[1:]
 			e.room.Free.MilliCPU += e.need.MilliCPU
 			e.room.Free.MemoryMB += e.need.MemoryMB
-			ledger.Return(e.of.job.Spec.Organisation, e.need)
+			ledger.Release(e.of.job.Spec.Organisation, e.need)
 			e.of.end(now)
 		}
 		if since := now.Sub(begin.Add(away)); since < 0 || since >= for_ {
@@ -204,7 +204,7 @@
 }
 
 // placeLoad places what waits, as a leader's pass does.
-func placeLoad(jobs []*loadJob, rooms []*Room, now time.Time, ledger *org.Ledger) []loadEnd {
+func placeLoad(jobs []*loadJob, rooms []*Candidate, now time.Time, ledger *org.Ledger) []loadEnd {
 	var groups []*Group
 	of := make(map[*job.Job]*loadJob)
 	for _, x := range jobs {
@@ -219,13 +219,13 @@
 	if ledger != nil {
 		draft = ledger.Draft(nil)
 	}
-	OrderShared(groups, Shares{Draft: draft, Whole: job.Need{MilliCPU: 1000 * loadCores * loadInstances}})
+	OrderShared(groups, Shares{Draft: draft, Total: job.Need{MilliCPU: 1000 * loadCores * loadInstances}})
 	var ends []loadEnd
 	for _, c := range Tasks(groups, rooms, draft) {
 		x := of[c.Task.Job]
 		c.Task.Phase = job.Active
-		ledger.Take(x.job.Spec.Organisation, x.job.Spec.Steps[c.Task.Step].Need)
-		ends = append(ends, loadEnd{now.Add(x.took[c.Task.Step][c.Task.Index]), x, c.Room, x.job.Spec.Steps[c.Task.Step].Need})
+		ledger.Acquire(x.job.Spec.Organisation, x.job.Spec.Steps[c.Task.Step].Need)
+		ends = append(ends, loadEnd{now.Add(x.took[c.Task.Step][c.Task.Index]), x, c.Candidate, x.job.Spec.Steps[c.Task.Step].Need})
 	}
 	for _, g := range groups {
 		g.Tasks = slices.DeleteFunc(g.Tasks, func(t *job.Task) bool { return t.Phase != job.Waiting })
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -108,7 +108,7 @@
 	turns := map[string]time.Duration{"w0": time.Minute, "w1": time.Hour}
 	until := func(id string) (time.Duration, bool) { d, ok := turns[id]; return d, ok }
 	run := func(d time.Duration) map[string]string {
-		return admitted(c, testTables(c, 3, fleet.JobSpec{ID: "j", Cores: 1, RunTime: fleet.Duration(d)}), Options{Until: until})
+		return admitted(c, testTables(c, 3, fleet.JobSpec{ID: "j", Cores: 1, RunTime: fleet.Duration(d)}), Options{UntilDrain: until})
 	}
 	c.Assert(run(2 * time.Hour)["j"], quicktest.Equals, "w2")
 	delete(turns, "w2")
--- a/place/shares_test.go
+++ b/place/shares_test.go
@@ -28,10 +28,10 @@
 	return l.Draft(nil)
 }
 
-func chosen(groups []*Group, rooms []*Room, draft *org.Draft) string {
+func chosen(groups []*Group, rooms []*Candidate, draft *org.Draft) string {
 	out := make(map[string]string)
 	for _, x := range Tasks(groups, rooms, draft) {
-		out[x.Task.Name()] = x.Room.Worker.Life
+		out[x.Task.Name()] = x.Candidate.Worker.Life
 	}
 	return fmt.Sprint(out)
 }
@@ -39,7 +39,7 @@
 func TestWhatWaitsForItsCapKeepsNoRoom(t *testing.T) {
 	c := quicktest.New(t)
 	a, b := of(groupOf("a", job.Step{Count: 3, Need: cpu(2000)}), "a"), of(groupOf("b", job.Step{Count: 1, Need: cpu(4000)}), "b")
-	got := chosen([]*Group{a, b}, []*Room{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r1", 4000, 2000)}, draftOf(c, 2000))
+	got := chosen([]*Group{a, b}, []*Candidate{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r1", 4000, 2000)}, draftOf(c, 2000))
 	c.Assert(got, quicktest.Equals, "map[a.0.0.0:w2 b.0.0.0:w1]")
 	c.Assert(a.Capped, quicktest.IsTrue)
 	c.Assert(b.Capped, quicktest.IsFalse)
@@ -48,7 +48,7 @@
 func TestAGangNeedsItsCapForAllMembers(t *testing.T) {
 	c := quicktest.New(t)
 	gang := func() *Group { return of(groupOf("a", job.Step{Count: 3, Need: cpu(1000), Gang: true}), "a") }
-	rooms := func() []*Room { return []*Room{roomOf("w1", "r1", 4000, 4000)} }
+	rooms := func() []*Candidate { return []*Candidate{roomOf("w1", "r1", 4000, 4000)} }
 	c.Assert(chosen([]*Group{gang()}, rooms(), draftOf(c, 2999)), quicktest.Equals, "map[]")
 	c.Assert(chosen([]*Group{gang()}, rooms(), draftOf(c, 3000)), quicktest.Equals, "map[a.0.0.0:w1 a.0.0.1:w1 a.0.0.2:w1]")
 }
@@ -58,14 +58,14 @@
 	c := quicktest.New(t)
 	gang := of(groupOf("a", job.Step{Count: 3, Need: cpu(1000), Gang: true}), "a")
 	other := of(groupOf("o", job.Step{Count: 1, Need: cpu(500)}), "a")
-	got := chosen([]*Group{gang, other}, []*Room{roomOf("w1", "r1", 4000, 2500), roomOf("w2", "r1", 4000, 600)}, draftOf(c, 3000))
+	got := chosen([]*Group{gang, other}, []*Candidate{roomOf("w1", "r1", 4000, 2500), roomOf("w2", "r1", 4000, 600)}, draftOf(c, 3000))
 	c.Assert(got, quicktest.Equals, "map[o.0.0.0:w1]", quicktest.Commentf("the emptiest room is kept for the gang"))
 }
 
 func TestATaskLargerThanItsCapRunsAlone(t *testing.T) {
 	c := quicktest.New(t)
 	large := of(groupOf("a", job.Step{Count: 2, Need: cpu(3000)}), "a")
-	got := chosen([]*Group{large}, []*Room{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r1", 4000, 4000)}, draftOf(c, 1000))
+	got := chosen([]*Group{large}, []*Candidate{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r1", 4000, 4000)}, draftOf(c, 1000))
 	c.Assert(got, quicktest.Equals, "map[a.0.0.0:w1]")
 }
 
@@ -73,12 +73,12 @@
 func TestWhatIsBeyondItsRateTakesRoomThatNobodyElseWants(t *testing.T) {
 	c := quicktest.New(t)
 	beyond, owed := of(groupOf("a", job.Step{Count: 4, Need: cpu(1000)}), "a"), of(groupOf("b", job.Step{Count: 3, Need: cpu(1000)}), "b")
-	beyond.Beyond, beyond.Expected, beyond.Priority, owed.Priority = true, 100, 0, 1
+	beyond.OverRate, beyond.Expected, beyond.Priority, owed.Priority = true, 100, 0, 1
 	groups := []*Group{beyond, owed}
 	Order(groups)
-	got := chosen(groups, []*Room{roomOf("w1", "r1", 4000, 4000)}, draftOf(c, 0))
+	got := chosen(groups, []*Candidate{roomOf("w1", "r1", 4000, 4000)}, draftOf(c, 0))
 	c.Assert(got, quicktest.Equals, "map[a.0.0.0:w1 b.0.0.0:w1 b.0.0.1:w1 b.0.0.2:w1]")
-	c.Assert(chosen(groups, []*Room{roomOf("w1", "r1", 4000, 3900), roomOf("w2", "r1", 500, 500)}, draftOf(c, 0)), quicktest.Equals, "map[b.0.0.0:w1 b.0.0.1:w1 b.0.0.2:w1]")
+	c.Assert(chosen(groups, []*Candidate{roomOf("w1", "r1", 4000, 3900), roomOf("w2", "r1", 500, 500)}, draftOf(c, 0)), quicktest.Equals, "map[b.0.0.0:w1 b.0.0.1:w1 b.0.0.2:w1]")
 }
 
 // The story. One organisation sent eight times its usual in a turn, and all were late alike: half of all jobs were never done in useful time, those
--- a/place/sharing.go
+++ b/place/sharing.go
@@ -14,8 +14,8 @@
 type Shares struct {
 	// Draft counts what organisations hold; nobody is told apart when nil.
 	Draft *org.Draft
-	// Whole is all that there is to share.
-	Whole job.Need
+	// Total is all that there is to share.
+	Total job.Need
 }
 
 // leastPart is the least part of what it would earn that a group of an organisation that holds more than its share is taken to earn: more than
@@ -31,7 +31,7 @@
 // instead of 0.726, of 0.992 without a hot one. Sharing by weight alone, and half of each share first, cost whole days 0.007 to 0.015 of their worth.
 func OrderShared(groups []*Group, s Shares) {
 	Order(groups)
-	if s.Draft == nil || s.Whole == (job.Need{}) {
+	if s.Draft == nil || s.Total == (job.Need{}) {
 		return
 	}
 	s.rank(groups)
@@ -46,7 +46,7 @@
 		name := g.organisation()
 		if _, seen := holds[name]; !seen && name != "" {
 			weights += s.Draft.Weight(name)
-			holds[name] = s.Draft.Share(name, s.Whole)
+			holds[name] = s.Draft.Share(name, s.Total)
 		}
 	}
 	for _, g := range groups {
@@ -59,6 +59,6 @@
 			g.shared *= max(1/(over*over*over), leastPart)
 		}
 		step := &g.Job.Spec.Steps[g.Step]
-		holds[name] += float64(len(g.Tasks)) * org.Dominant(step.Need, s.Whole) / s.Draft.Weight(name)
+		holds[name] += float64(len(g.Tasks)) * org.Dominant(step.Need, s.Total) / s.Draft.Weight(name)
 	}
 }
--- a/place/tasks.go
+++ b/place/tasks.go
@@ -13,18 +13,18 @@
 	"rackstep.dev/work"
 )
 
-// Room is what one worker has free for tasks.
-type Room struct {
+// Candidate is what one worker has free for tasks.
+type Candidate struct {
 	Worker *work.Worker
 	Free   job.Need
 	// Serving and Filling count its lasting tasks that serve users and those that fill beside them.
 	Serving, Filling int
-	// Due says that the instance is to be emptied for its upkeep before long.
-	Due bool
+	// UpkeepDue says that the instance is to be emptied for its upkeep before long.
+	UpkeepDue bool
 	// Cold says that the worker is slow since its start: it gets what no other has room for.
 	Cold bool
-	// Fresh says that a run began there so lately that it may still end the worker's life by starting.
-	Fresh bool
+	// RecentStart says that a run began there so lately that it may still end the worker's life by starting.
+	RecentStart bool
 }
 
 // Group is the waiting tasks of one step of one time of a job.
@@ -34,17 +34,17 @@
 	Priority   int
 	// Lasting groups come first: they serve users all the time.
 	Lasting bool
-	// Beyond says that its job is beyond its organisation's rate: it takes room that nobody else wants, and keeps none.
-	Beyond bool
+	// OverRate says that its job is beyond its organisation's rate: it takes room that nobody else wants, and keeps none.
+	OverRate bool
 	// Capped says that at the last look the organisation's cap kept some of it from starting, ToldCapped that this is in the log.
-	Capped, ToldCapped bool
+	Capped, CappedLogged bool
 	// Outlook is as of Ranked.
 	Outlook
-	Ranked time.Time
+	RankedAt time.Time
 	// Since is when the job was handed in.
 	Since time.Time
-	// Opened is when the tasks began to wait for a worker.
-	Opened time.Time
+	// ReadySince is when the tasks began to wait for a worker.
+	ReadySince time.Time
 	// Tasks wait for a worker.
 	Tasks []*job.Task
 	// OnWorker counts the step's tasks on each worker's life; it is filled only where the step limits them.
@@ -63,13 +63,13 @@
 // Choice puts one task on one worker.
 type Choice struct {
 	Task *job.Task
-	Room *Room
+	Candidate *Candidate
 	// Ticket lets the worker run the step, where one is needed.
 	Ticket string
 	// Slack is what its job had left to be on time, as far as estimates tell.
 	Slack time.Duration
-	// Apart says that nothing else is to start there until the task has ended or gone on for long enough.
-	Apart bool
+	// Isolated says that nothing else is to start there until the task has ended or gone on for long enough.
+	Isolated bool
 }
 
 // Order sorts groups by what comes first.
@@ -85,8 +85,8 @@
 // compareClass compares what goes before all that is expected to be earned.
 func compareClass(a, b *Group) int {
 	switch {
-	case a.Beyond != b.Beyond:
-		return first(b.Beyond)
+	case a.OverRate != b.OverRate:
+		return first(b.OverRate)
 	case a.Lasting != b.Lasting:
 		return first(a.Lasting)
 	}
@@ -107,7 +107,7 @@
 //
 // A task that fits nowhere keeps the emptiest room from those behind it, so that small tasks do not take for ever what
 // a large one waits for. One that waits for its organisation's cap keeps none: no room would help it.
-func Tasks(groups []*Group, rooms []*Room, draft *org.Draft) []Choice {
+func Tasks(groups []*Group, rooms []*Candidate, draft *org.Draft) []Choice {
 	var out []Choice
 	var full []job.Need // needs for which no room was found, without conditions
 	reserved := 0
@@ -127,14 +127,14 @@
 		}
 		before := len(out)
 		for _, t := range g.Tasks {
-			if t.Held || (t.Suspect && !step.Gang) {
+			if t.BackingOff || (t.Suspect && !step.Gang) {
 				continue // not yet, or apart
 			}
 			if !draft.Admits(g.organisation(), step.Need, 1) {
 				g.Capped = true
 				break
 			}
-			var r *Room
+			var r *Candidate
 			if plain && !step.Lasting && step.Rack == "" {
 				r = free.fullest(charge(step), t.Avoid)
 			} else {
@@ -144,9 +144,9 @@
 				if plain {
 					full = append(full, charge(step))
 				}
-				if !g.Beyond && (step.Lasting || reserved < reserveMost) {
+				if !g.OverRate && (step.Lasting || reserved < reserveMost) {
 					if kept := emptiest(g, step, rooms); kept != nil {
-						rooms = slices.DeleteFunc(slices.Clone(rooms), func(o *Room) bool { return o == kept })
+						rooms = slices.DeleteFunc(slices.Clone(rooms), func(o *Candidate) bool { return o == kept })
 						free.drop(kept)
 					}
 					reserved++
@@ -156,16 +156,16 @@
 			free.drop(r)
 			take(g, r)
 			free.put(r)
-			draft.Take(g.organisation(), step.Need)
-			out = append(out, Choice{Task: t, Room: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack})
+			draft.Acquire(g.organisation(), step.Need)
+			out = append(out, Choice{Task: t, Candidate: r, Ticket: g.Tickets[r.Worker.Life], Slack: g.Slack})
 		}
 		if step.Gang && len(out)-before < len(g.Tasks) {
 			for _, c := range out[before:] {
-				shelved := free.drop(c.Room) // it may be reserved by now
-				giveBack(g, c.Room)
-				draft.Return(g.organisation(), step.Need)
+				shelved := free.drop(c.Candidate) // it may be reserved by now
+				giveBack(g, c.Candidate)
+				draft.Release(g.organisation(), step.Need)
 				if shelved {
-					free.put(c.Room)
+					free.put(c.Candidate)
 				}
 			}
 			out = out[:before]
@@ -175,10 +175,10 @@
 }
 
 // emptiest returns the emptiest room that the step may use once it has space, or nil.
-func emptiest(g *Group, step *job.Step, rooms []*Room) *Room {
-	var best *Room
+func emptiest(g *Group, step *job.Step, rooms []*Candidate) *Candidate {
+	var best *Candidate
 	for _, r := range rooms {
-		if !atLeast(r.Worker.Room, charge(step)) || !allowed(g, step, r) {
+		if !atLeast(r.Worker.Capacity, charge(step)) || !allowed(g, step, r) {
 			continue
 		}
 		if best == nil || r.Free.MilliCPU > best.Free.MilliCPU {
@@ -204,15 +204,15 @@
 	return a.MilliCPU >= b.MilliCPU && a.MemoryMB >= b.MemoryMB && a.GPU >= b.GPU
 }
 
-func take(g *Group, r *Room) {
+func take(g *Group, r *Candidate) {
 	change(g, r, -1)
 }
 
-func giveBack(g *Group, r *Room) {
+func giveBack(g *Group, r *Candidate) {
 	change(g, r, 1)
 }
 
-func change(g *Group, r *Room, sign int) {
+func change(g *Group, r *Candidate, sign int) {
 	step := &g.Job.Spec.Steps[g.Step]
 	n := charge(step)
 	r.Free.MilliCPU += sign * n.MilliCPU
@@ -232,10 +232,10 @@
 }
 
 // choose returns the best room for the task, or nil.
-func choose(g *Group, t *job.Task, rooms []*Room) *Room {
+func choose(g *Group, t *job.Task, rooms []*Candidate) *Candidate {
 	step := &g.Job.Spec.Steps[g.Step]
 	need := charge(step)
-	var best *Room
+	var best *Candidate
 	var bestScore float64
 	for _, r := range rooms {
 		if !atLeast(r.Free, need) || !allowed(g, step, r) {
@@ -249,7 +249,7 @@
 	return best
 }
 
-func allowed(g *Group, step *job.Step, r *Room) bool {
+func allowed(g *Group, step *job.Step, r *Candidate) bool {
 	if step.Label != "" && !slices.Contains(r.Worker.Labels, step.Label) {
 		return false
 	}
@@ -263,7 +263,7 @@
 }
 
 // Fits returns how many of the step's tasks the room can take now.
-func (g *Group) Fits(r *Room) int {
+func (g *Group) Fits(r *Candidate) int {
 	step := &g.Job.Spec.Steps[g.Step]
 	if !allowed(g, step, r) {
 		return 0
@@ -316,7 +316,7 @@
 )
 
 // score is higher for better rooms. The fullest room with space is best, so that others empty and can be used elsewhere.
-func score(g *Group, t *job.Task, step *job.Step, r *Room) float64 {
+func score(g *Group, t *job.Task, step *job.Step, r *Candidate) float64 {
 	s := -r.freePart()
 	if step.Rack != "" && slices.Contains(r.Worker.Labels, step.Rack) {
 		s += nearWeight
@@ -334,7 +334,7 @@
 	if r.Serving+r.Filling > 0 {
 		s += togetherWeight
 	}
-	if r.Due {
+	if r.UpkeepDue {
 		s -= dueWeight
 	}
 	if step.Fills {
--- a/place/tasks_test.go
+++ b/place/tasks_test.go
@@ -16,9 +16,9 @@
 	"rackstep.dev/work"
 )
 
-func roomOf(life, rack string, milliCPU, free int) *Room {
-	w := &work.Worker{Life: life, Labels: []string{"a", rack}, Rack: rack, Room: job.Need{MilliCPU: milliCPU, MemoryMB: 10000}}
-	return &Room{Worker: w, Free: job.Need{MilliCPU: free, MemoryMB: 10000}}
+func roomOf(life, rack string, milliCPU, free int) *Candidate {
+	w := &work.Worker{Life: life, Labels: []string{"a", rack}, Rack: rack, Capacity: job.Need{MilliCPU: milliCPU, MemoryMB: 10000}}
+	return &Candidate{Worker: w, Free: job.Need{MilliCPU: free, MemoryMB: 10000}}
 }
 
 func groupOf(id string, s job.Step) *Group {
@@ -31,10 +31,10 @@
 }
 
 // placed returns which life each task got.
-func placed(groups []*Group, rooms []*Room) map[string]string {
+func placed(groups []*Group, rooms []*Candidate) map[string]string {
 	out := make(map[string]string)
 	for _, x := range Tasks(groups, rooms, nil) {
-		out[x.Task.Name()] = x.Room.Worker.Life
+		out[x.Task.Name()] = x.Candidate.Worker.Life
 	}
 	return out
 }
@@ -42,11 +42,11 @@
 func cpu(n int) job.Need { return job.Need{MilliCPU: n} }
 
 func TestChoices(t *testing.T) {
-	two := func() []*Room { return []*Room{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r2", 4000, 2000)} }
+	two := func() []*Candidate { return []*Candidate{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r2", 4000, 2000)} }
 	for _, test := range [...]struct {
 		name  string
 		step  job.Step
-		rooms []*Room
+		rooms []*Candidate
 		want  string
 	}{
 		{"the fullest room with space comes first", job.Step{Count: 2, Need: cpu(1000)}, two(), "map[j.0.0.0:w2 j.0.0.1:w2]"},
@@ -67,7 +67,7 @@
 func TestALargeTaskIsNotStarvedBySmallOnes(t *testing.T) {
 	c := quicktest.New(t)
 	large, small := groupOf("l", job.Step{Count: 1, Need: cpu(3000)}), groupOf("s", job.Step{Count: 9, Need: cpu(1000)})
-	got := placed([]*Group{large, small}, []*Room{roomOf("w1", "r1", 4000, 2000), roomOf("w2", "r1", 4000, 1000)})
+	got := placed([]*Group{large, small}, []*Candidate{roomOf("w1", "r1", 4000, 2000), roomOf("w2", "r1", 4000, 1000)})
 	c.Assert(fmt.Sprint(got), quicktest.Equals, "map[s.0.0.0:w2]", quicktest.Commentf("the emptiest room is kept for the large task"))
 }
 
@@ -75,7 +75,7 @@
 	c := quicktest.New(t)
 	g := groupOf("j", job.Step{Count: 1, Need: cpu(1000)})
 	g.Tickets = map[string]string{"w1": "ticket"}
-	got := Tasks([]*Group{g}, []*Room{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r1", 4000, 2000)}, nil)
+	got := Tasks([]*Group{g}, []*Candidate{roomOf("w1", "r1", 4000, 4000), roomOf("w2", "r1", 4000, 2000)}, nil)
 	c.Assert(got, quicktest.HasLen, 1)
 	c.Assert(got[0].Ticket, quicktest.Equals, "ticket")
 }
@@ -89,7 +89,7 @@
 	}
 	now := time.Unix(100, 0)
 	expects := func(left time.Duration, density float64) Outlook {
-		return Estimate{From: now.Add(-4 * time.Second), Aim: 4*time.Second + left, Left: 0, Density: density}.At(now)
+		return Estimate{From: now.Add(-4 * time.Second), Target: 4*time.Second + left, Remaining: 0, Density: density}.At(now)
 	}
 	groups := []*Group{
 		at("late", func(g *Group) { g.Outlook = expects(-3*time.Second, 5) }),
@@ -117,15 +117,15 @@
 				Gang: rapid.Bool().Draw(r, "gang"), PerWorker: rapid.IntRange(0, 2).Draw(r, "most"), Lasting: rapid.Bool().Draw(r, "lasting"),
 			}))
 		}
-		var rooms []*Room
+		var rooms []*Candidate
 		for i := range rapid.IntRange(0, 5).Draw(r, "rooms") {
 			rooms = append(rooms, roomOf(fmt.Sprint("w", i), "r", 4000, rapid.IntRange(0, 4000).Draw(r, "free")))
 		}
 		Order(groups)
 		count := make(map[string]int)
 		for _, x := range Tasks(groups, rooms, nil) {
-			count[fmt.Sprint(x.Task.Job.Spec.ID, x.Room.Worker.Life)]++
-			if most := x.Task.Spec().PerWorker; most > 0 && count[fmt.Sprint(x.Task.Job.Spec.ID, x.Room.Worker.Life)] > most {
+			count[fmt.Sprint(x.Task.Job.Spec.ID, x.Candidate.Worker.Life)]++
+			if most := x.Task.Spec().PerWorker; most > 0 && count[fmt.Sprint(x.Task.Job.Spec.ID, x.Candidate.Worker.Life)] > most {
 				r.Fatal("more tasks of a step on a worker than it allows")
 			}
 		}
@@ -154,10 +154,10 @@
 			})
 		}
 		place := func(label string) (int, []float64) {
-			var rooms []*Room
+			var rooms []*Candidate
 			for i := range free {
 				x := roomOf(fmt.Sprint("w", i), "r", size, free[i].MilliCPU)
-				x.Free.MemoryMB, x.Worker.Room.MemoryMB = free[i].MemoryMB, 4000
+				x.Free.MemoryMB, x.Worker.Capacity.MemoryMB = free[i].MemoryMB, 4000
 				x.Worker.Labels = append(x.Worker.Labels, "any")
 				rooms = append(rooms, x)
 			}
@@ -186,7 +186,7 @@
 // TestTheFullestRoomWithSpaceIsFound asks for one room among those of several sizes.
 func TestTheFullestRoomWithSpaceIsFound(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var rooms []*Room
+		var rooms []*Candidate
 		for i := range rapid.IntRange(0, 30).Draw(r, "rooms") {
 			size := rapid.SampledFrom([]int{4000, 8000, 16000}).Draw(r, "size")
 			x := roomOf(fmt.Sprint("w", i), "r", size, rapid.IntRange(0, size).Draw(r, "free"))
@@ -210,11 +210,11 @@
 	c := quicktest.New(t)
 	g := groupOf("a", job.Step{Count: 1, Need: cpu(1000)})
 	g.Tasks[0].Avoid = "full"
-	rooms := []*Room{roomOf("full", "r", 4000, 1000), roomOf("empty", "r", 4000, 4000)}
-	c.Assert(Tasks([]*Group{g}, rooms, nil)[0].Room.Worker.Life, quicktest.Equals, "empty")
+	rooms := []*Candidate{roomOf("full", "r", 4000, 1000), roomOf("empty", "r", 4000, 4000)}
+	c.Assert(Tasks([]*Group{g}, rooms, nil)[0].Candidate.Worker.Life, quicktest.Equals, "empty")
 	g = groupOf("a", job.Step{Count: 1, Need: cpu(1000)})
 	g.Tasks[0].Avoid = "full"
-	c.Assert(Tasks([]*Group{g}, rooms[:1], nil)[0].Room.Worker.Life, quicktest.Equals, "full")
+	c.Assert(Tasks([]*Group{g}, rooms[:1], nil)[0].Candidate.Worker.Life, quicktest.Equals, "full")
 }
 
 // benchTasks places a backlog on a pool; run with -bench to see the cost of one decision.
@@ -225,7 +225,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		rooms := make([]*Room, workers)
+		rooms := make([]*Candidate, workers)
 		for i := range rooms {
 			rooms[i] = roomOf(fmt.Sprint("w", i), "r", 16000, 16000)
 			rooms[i].Free.MemoryMB = 32000
@@ -254,7 +254,7 @@
 		{"near its data goes before", job.Step{Count: 1, Need: cpu(1000), Rack: "r3"}, 0, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			rooms := []*Room{roomOf("warm1", "r1", 4000, 4000), roomOf("warm2", "r2", 4000, 4000), roomOf("cold1", "r3", 4000, 2000), roomOf("cold2", "r4", 4000, 4000)}
+			rooms := []*Candidate{roomOf("warm1", "r1", 4000, 4000), roomOf("warm2", "r2", 4000, 4000), roomOf("cold1", "r3", 4000, 2000), roomOf("cold2", "r4", 4000, 4000)}
 			rooms[2].Cold, rooms[3].Cold = true, true
 			warm, cold := 0, 0
 			for _, life := range placed([]*Group{groupOf("j", x.step)}, rooms) {
--- a/place/usage_test.go
+++ b/place/usage_test.go
@@ -28,16 +28,16 @@
 	c := quicktest.New(t)
 	j := &fleet.Job{ID: "j", Attempt: 1, State: fleet.JobRunning, Spec: fleet.JobSpec{Cores: 8, MemoryMB: 100}}
 	for _, test := range [...]struct {
-		seen    Seen
+		seen    Usage
 		differs bool
 		cores   int
 	}{
-		{Seen{Cores: 7.9, MemoryMB: 90, Ran: time.Second}, false, 0},
-		{Seen{Cores: 9, MemoryMB: 90, Ran: time.Second}, true, 10},
-		{Seen{Cores: 1, MemoryMB: 80, Ran: time.Second}, false, 0},
-		{Seen{Cores: 1, MemoryMB: 80, Ran: time.Hour}, true, 2},
-		{Seen{Cores: 6, MemoryMB: 80, Ran: time.Hour}, false, 0},
-		{Seen{Cores: 1, MemoryMB: 200, Ran: time.Second}, true, 8}, // its cores may still grow
+		{Usage{Cores: 7.9, MemoryMB: 90, Ran: time.Second}, false, 0},
+		{Usage{Cores: 9, MemoryMB: 90, Ran: time.Second}, true, 10},
+		{Usage{Cores: 1, MemoryMB: 80, Ran: time.Second}, false, 0},
+		{Usage{Cores: 1, MemoryMB: 80, Ran: time.Hour}, true, 2},
+		{Usage{Cores: 6, MemoryMB: 80, Ran: time.Hour}, false, 0},
+		{Usage{Cores: 1, MemoryMB: 200, Ran: time.Second}, true, 8}, // its cores may still grow
 	} {
 		m, differs := Measured(j, test.seen)
 		c.Assert(differs, quicktest.Equals, test.differs, quicktest.Commentf("%+v", test))
@@ -46,7 +46,7 @@
 		}
 	}
 	j.Limit = 2
-	_, differs := Measured(j, Seen{Cores: 2, MemoryMB: 80, Ran: time.Hour})
+	_, differs := Measured(j, Usage{Cores: 2, MemoryMB: 80, Ran: time.Hour})
 	c.Assert(differs, quicktest.IsFalse)
 }
 
--- a/plan/estimate.go
+++ b/plan/estimate.go
@@ -14,11 +14,11 @@
 	if len(p.Steps) == 0 {
 		return e
 	}
-	e.RollOut = time.Duration(p.Waves) * costs.Time()
-	e.RollOutBound = time.Duration(wavesBound(t, p)) * costs.Time()
+	e.RollOut = time.Duration(p.Waves) * costs.MaintenanceTime()
+	e.RollOutBound = time.Duration(wavesBound(t, p)) * costs.MaintenanceTime()
 	e.BufferBound = (len(p.Steps) + p.Waves - 1) / p.Waves
 	for i := range p.Steps {
-		turn := time.Duration(p.Steps[i].Wave) * costs.Time()
+		turn := time.Duration(p.Steps[i].Wave) * costs.MaintenanceTime()
 		stay, bound := movesFrom(t, p.Steps[i].Instance, turn, e.RollOut)
 		e.Moves += stay
 		e.MovesBound += bound
--- a/plan/make.go
+++ b/plan/make.go
@@ -22,25 +22,25 @@
 
 const defaultMaintenance = 2 * time.Minute
 
-// Time returns Maintenance or its default.
-func (c Costs) Time() time.Duration {
+// MaintenanceTime returns Maintenance or its default.
+func (c Costs) MaintenanceTime() time.Duration {
 	if c.Maintenance > 0 {
 		return c.Maintenance
 	}
 	return defaultMaintenance
 }
 
-// Wait returns Patience, or what the weights make of it: the more a move weighs beside roll-out time, the longer.
-func (c Costs) Wait(w fleet.Weights) time.Duration {
+// JobWait returns Patience, or what the weights make of it: the more a move weighs beside roll-out time, the longer.
+func (c Costs) JobWait(w fleet.Weights) time.Duration {
 	switch {
 	case c.Patience > 0:
 		return c.Patience
 	case w.Moves == 0:
 		return 0
 	case w.RollOut == 0:
-		return longestWait * c.Time()
+		return longestWait * c.MaintenanceTime()
 	}
-	return min(longestWait*c.Time(), time.Duration(w.Moves/w.RollOut*float64(c.Time())))
+	return min(longestWait*c.MaintenanceTime(), time.Duration(w.Moves/w.RollOut*float64(c.MaintenanceTime())))
 }
 
 // longestWait bounds the wait for a job, in times of one maintenance.
--- a/plan/next.go
+++ b/plan/next.go
@@ -14,8 +14,8 @@
 
 // What may be known of a command.
 const (
-	CommandUnasked CommandFact = iota // this entry has not asked yet
-	CommandAbsent                     // the platform has not seen it
+	CommandNotQueried CommandFact = iota // this entry has not asked yet
+	CommandUnknown                     // the platform has not seen it
 	CommandRunning
 	CommandDone
 	CommandExpired // the platform refuses it for ever
@@ -188,7 +188,7 @@
 		return
 	}
 	switch n.f.Command(in.Command) {
-	case CommandUnasked, CommandAbsent:
+	case CommandNotQueried, CommandUnknown:
 		n.out = append(n.out, Decision{Command: &Command{Instance: in.ID, ID: in.Command, Action: s.Action}})
 	case CommandExpired:
 		n.advance(s, in, fleet.StepDrained, nil) // it did not happen and never will: a new one may be sent
@@ -201,9 +201,9 @@
 	}
 }
 
-// Turns returns a function that says how long an instance stays in service before an active plan is expected to take it
+// TimeToTakeOut returns a function that says how long an instance stays in service before an active plan is expected to take it
 // out, and false when no plan will.
-func Turns(t *fleet.Tables, c Costs) func(instance string) (time.Duration, bool) {
+func TimeToTakeOut(t *fleet.Tables, c Costs) func(instance string) (time.Duration, bool) {
 	turns := make(map[string]time.Duration)
 	for _, p := range t.Plans.All {
 		if !p.Active() {
@@ -212,7 +212,7 @@
 		first := firstWave(p)
 		for i := range p.Steps {
 			if s := &p.Steps[i]; s.State == fleet.StepWaiting {
-				turns[s.Instance] = time.Duration(s.Wave-first) * c.Time()
+				turns[s.Instance] = time.Duration(s.Wave-first) * c.MaintenanceTime()
 			}
 		}
 	}
@@ -222,10 +222,10 @@
 	}
 }
 
-// Leaves says whether a job on a draining instance is moved rather than waited for, after it has run for that long.
+// ShouldMove says whether a job on a draining instance is moved rather than waited for, after it has run for that long.
 //
 // Declared run times are far off: when the declared one has passed, the job is taken to run on for as long again.
-func Leaves(j *fleet.Job, ran, patience time.Duration) bool {
+func ShouldMove(j *fleet.Job, ran, patience time.Duration) bool {
 	left := j.Spec.RunTime.Std() - ran
 	if left < 0 {
 		left = ran
--- a/pool/advice_test.go
+++ b/pool/advice_test.go
@@ -24,7 +24,7 @@
 	b.tickets[name] = &stepTickets{refused: map[string]time.Time{"w1": time.Now()}}
 	ended := b.jobs[j.Spec.ID]
 	ended.Cancel(time.Now())
-	ended.KeptVersion = ended.Version
+	ended.StoredVersion = ended.Version
 	b.forget(time.Now())
 	c.Assert(b.tickets, quicktest.HasLen, 1, quicktest.Commentf("its state is still owed"))
 	b.forget(time.Now().Add(time.Hour))
--- a/pool/aside.go
+++ b/pool/aside.go
@@ -57,7 +57,7 @@
 }
 
 // unkeepable takes what rests on a record out of what the batch has kept.
-func (c *session) unkeepable(m *commitEnded, a keep.Aside) {
+func (c *session) unkeepable(m *commitEnded, a keep.RejectedRecord) {
 	for _, prefix := range append(sidePrefixes[:], stateKey) {
 		if id, ok := strings.CutPrefix(a.Key, prefix); ok {
 			c.jobAside(m, c.jobs[id])
--- a/pool/asleep_test.go
+++ b/pool/asleep_test.go
@@ -119,7 +119,7 @@
 		base := time.Now()
 		a.Clock = &clock.Clock{Boot: func() time.Duration { return time.Since(base) + a.slept }}
 		a.Clock.Sure()
-		a.term.Clean, a.term.Alone, a.term.Renewed = false, false, a.now()
+		a.term.CleanHandover, a.term.Exclusive, a.term.PredecessorRenewed = false, false, a.now()
 		for _, w := range a.workers {
 			w.before = true
 		}
--- a/pool/away_test.go
+++ b/pool/away_test.go
@@ -23,7 +23,7 @@
 	}
 	b := newBench(c, []*job.Job{j}, "w1", "w2")
 	for i, life := range []string{"w1", "w2"} {
-		b.reports(life, 10, []work.Row{{Task: b.task(i).Name(), Run: 5, Percent: fullPercent}})
+		b.reports(life, 10, []work.RunStatus{{Task: b.task(i).Name(), Run: 5, Percent: fullPercent}})
 	}
 	now := time.Now()
 	c.Assert(b.mayTakeAway(b.task(0), now), quicktest.IsFalse, quicktest.Commentf("a stop may still go on"))
--- a/pool/backoff_test.go
+++ b/pool/backoff_test.go
@@ -35,7 +35,7 @@
 
 // TestWhatFailsIsTriedLessAndLess looks for what is tried again without a bound and at an even pace.
 func TestWhatFailsIsTriedLessAndLess(t *testing.T) {
-	for _, why := range [...]work.Refusal{work.Unknown, work.Late, work.Old} {
+	for _, why := range [...]work.Refusal{work.InvalidOrder, work.DeadlinePassed, work.OldRun} {
 		t.Run("refused: "+why.String(), func(t *testing.T) { synctest.Test(t, func(t *testing.T) { refusedEverywhere(t, why) }) })
 	}
 	t.Run("a lasting task that fails at once", func(t *testing.T) { synctest.Test(t, failsAtOnce) })
@@ -61,7 +61,7 @@
 	}
 	b.goesOn(time.Second)
 	s := &job.Spec{ID: "00000000000000b2", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 12, Need: job.Need{MilliCPU: 1000}}}}
-	b.openJob(b.readIntake(0, record(c, job.OwnedBy("", s.ID).HandedInKey(), s), time.Now()), time.Now())
+	b.openJob(b.readIntake(0, record(c, job.Qualify("", s.ID).SubmissionKey(), s), time.Now()), time.Now())
 	b.goesOn(200 * time.Millisecond)
 	c.Check(others.Load(), quicktest.Equals, int64(12))
 	b.goesOn(9 * time.Second)
@@ -94,7 +94,7 @@
 				n := ends[life]
 				mu.Unlock()
 				b.post(holdEnded{worker: workers[life], asked: time.Now(), report: work.Report{
-					Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.End{{N: n, Task: o.Task, Run: o.Run, How: work.Failed}}}})
+					Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.EndedRun{{Seq: n, Task: o.Task, Run: o.Run, Outcome: work.Failed}}}})
 			}
 		})
 		starts[o.Task]++
@@ -105,11 +105,11 @@
 	c.Check(starts[taskName] <= 20, quicktest.IsTrue, quicktest.Commentf("%d starts", starts[taskName]))
 
 	served := b.task(1)
-	served.Since = time.Now().Add(-time.Minute)
+	served.RunSince = time.Now().Add(-time.Minute)
 	w := b.workers[served.Worker]
 	c.Assert(w, quicktest.IsNotNil)
 	before := starts[served.Name()]
-	b.post(holdEnded{worker: w, asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: 1 << 40}, Ended: []work.End{{N: 1000, Task: served.Name(), Run: served.Run, How: work.Failed}}}})
+	b.post(holdEnded{worker: w, asked: time.Now(), report: work.Report{Answer: work.Answer{Clock: 1 << 40}, Ended: []work.EndedRun{{Seq: 1000, Task: served.Name(), Run: served.Run, Outcome: work.Failed}}}})
 	b.goesOn(150 * time.Millisecond)
 	c.Check(starts[served.Name()], quicktest.Equals, before+1)
 }
@@ -127,7 +127,7 @@
 		n, life := starts, x.Life
 		time.AfterFunc(10*time.Millisecond, func() {
 			b.post(holdEnded{worker: workers[life], asked: time.Now(), report: work.Report{
-				Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.End{{N: n, Task: o.Task, Run: o.Run, How: work.Other}}}})
+				Answer: work.Answer{Clock: work.Clock(100 * n)}, Ended: []work.EndedRun{{Seq: n, Task: o.Task, Run: o.Run, Outcome: work.Other}}}})
 		})
 		return work.Answer{Clock: work.Clock(100 * n)}, nil
 	}
--- a/pool/commit.go
+++ b/pool/commit.go
@@ -27,7 +27,7 @@
 	waves    map[int64]int // the versions of what is kept of them
 	starts   []plannedStart
 	// aside are the records that the store surely never takes; the call's goroutine sets them before answeredAt.
-	aside []keep.Aside
+	aside []keep.RejectedRecord
 	// answeredAt is when the store had taken the batch, nil before; the call's goroutine sets it.
 	answeredAt atomic.Pointer[time.Time]
 }
@@ -70,11 +70,11 @@
 		}
 	}()
 	for size < c.batchMost {
-		_, j, ok := c.dirty.Next()
+		_, j, ok := c.dirty.Pop()
 		if !ok {
 			break
 		}
-		value, err := job.Encode(j.Keep())
+		value, err := job.Encode(j.Stored())
 		if err != nil {
 			c.emit(event.RecordRefused, event.Subject{Job: j.Spec.ID}, "not kept: %v", err)
 			refused = append(refused, j)
@@ -103,7 +103,7 @@
 // keepSideRecords returns the side records of a job: the runs that were lost with their worker's life, and the starts that may be carried out late. It
 // includes deletions of stored records that are no longer needed.
 func (c *session) keepSideRecords(j *job.Job) ([]feed.KeyedRecord, error) {
-	lost, late := j.KeepLost(), j.KeepLate(c.now(), timeOfDay())
+	lost, late := j.StoredLost(), j.StoredLate(c.now(), timeOfDay())
 	var records []feed.KeyedRecord
 	for _, x := range [...]struct {
 		key   string
@@ -161,11 +161,11 @@
 func (c *session) newWriter() *keep.Writer {
 	return &keep.Writer{
 		Call: func(ctx context.Context, b feed.Batch) (int64, error) { return c.State.Append(ctx, b) },
-		Name: writer, Epoch: c.term.Fence, RecordMost: c.RecordMost,
-		Failing: func(err error) {
+		Name: writer, Epoch: c.term.Fence, MaxRecordBytes: c.MaxRecordBytes,
+		OnFailure: func(err error) {
 			c.emit(event.StoreUnreachable, event.Subject{Entry: c.Entry}, "state not kept: %v", err)
 		},
-		Again: func() { c.emit(event.StoreReachable, event.Subject{Entry: c.Entry}, "state kept again") },
+		OnRecovery: func() { c.emit(event.StoreReachable, event.Subject{Entry: c.Entry}, "state kept again") },
 	}
 }
 
@@ -194,7 +194,7 @@
 	c.tookBatch(took)
 	c.setAside(m.commitEnded)
 	for j, v := range m.versions {
-		j.KeptVersion = max(j.KeptVersion, v)
+		j.StoredVersion = max(j.StoredVersion, v)
 		c.noteKept(j)
 		if j.State.Ended() && v == j.Version {
 			c.counts.jobs.RecordDuration(c.now().Sub(j.Received))
@@ -227,7 +227,7 @@
 
 // mayAck reports whether the end may be acknowledged, so that the worker may forget it.
 func (e unkeptEnd) mayAck(now time.Time) bool {
-	return (e.job == nil || e.job.KeptVersion >= e.version) && !now.Before(e.ackAfter)
+	return (e.job == nil || e.job.StoredVersion >= e.version) && !now.Before(e.ackAfter)
 }
 
 // ackKept lets a worker forget its oldest ends, as far as what they changed is kept.
@@ -250,7 +250,7 @@
 }
 
 // dropRecords takes what is kept of a job out of partitions of the intake; a failure leaves records that the next leader drops.
-func (c *session) dropRecords(name job.Owned, parts uint64) {
+func (c *session) dropRecords(name job.QualifiedID, parts uint64) {
 	_, id := name.Parts()
 	c.work.Go(func() {
 		for part, topic := range c.Intake {
@@ -258,7 +258,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(c.ctx, storeTimeout)
-			_, err := topic.Append(ctx, feed.Batch{At: -1, Records: []feed.KeyedRecord{{Key: name.HandedInKey()}, {Key: name.CancelKey()}}})
+			_, err := topic.Append(ctx, feed.Batch{ExpectedEnd: -1, Records: []feed.KeyedRecord{{Key: name.SubmissionKey()}, {Key: name.CancelKey()}}})
 			cancel()
 			if err != nil {
 				c.emit(event.StoreUnreachable, event.Subject{Job: id}, "old job not dropped: %v", err)
--- a/pool/crash_test.go
+++ b/pool/crash_test.go
@@ -146,7 +146,7 @@
 				lost++
 			}
 		}
-		if n, _ := job.ParseName(task); n.ID == id && lost >= job.LostProved {
+		if n, _ := job.ParseName(task); n.ID == id && lost >= job.LossLimitConclusive {
 			return true
 		}
 	}
@@ -167,7 +167,7 @@
 	err := pool.ErrNotLeading
 	for _, e := range h.entries {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		a, err = e.scheduler.Ask(ctx, job.Question{ID: id})
+		a, err = e.scheduler.Ask(ctx, job.Query{ID: id})
 		cancel()
 		if err == nil {
 			break
--- a/pool/crowded_test.go
+++ b/pool/crowded_test.go
@@ -29,7 +29,7 @@
 		f.mu.Lock()
 		if o.Idle && !f.open[w.Life] && len(f.open) >= f.most {
 			f.mu.Unlock()
-			return work.Report{}, work.ErrCrowded
+			return work.Report{}, work.ErrTooManyConnections
 		}
 		f.open[w.Life] = true
 		f.asked[w.Life]++
@@ -37,12 +37,12 @@
 		sleep(ctx, o.Wait+time.Millisecond)
 		return work.Report{Answer: work.Answer{Clock: 10}}, nil
 	}
-	c.Crowded = func() bool {
+	c.ConnectionsScarce = func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return 10*len(f.open) > 8*f.most
 	}
-	c.Rest = func(w *work.Worker) {
+	c.CloseIdle = func(w *work.Worker) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		delete(f.open, w.Life)
