--- a/pool/demand.go
+++ b/pool/demand.go
@@ -82,9 +82,9 @@
 	var sum job.Need
 	n := 0
 	for _, w := range c.workers {
-		if w.Room.MilliCPU > 0 {
-			sum.MilliCPU += w.Room.MilliCPU
-			sum.MemoryMB += w.Room.MemoryMB
+		if w.Capacity.MilliCPU > 0 {
+			sum.MilliCPU += w.Capacity.MilliCPU
+			sum.MemoryMB += w.Capacity.MemoryMB
 			n++
 		}
 	}
@@ -103,7 +103,7 @@
 	}
 	for _, w := range c.workers {
 		p := c.pool(w.Pool)
-		used := job.Need{MilliCPU: w.Room.MilliCPU - w.room.Free.MilliCPU, MemoryMB: w.Room.MemoryMB - w.room.Free.MemoryMB}
+		used := job.Need{MilliCPU: w.Capacity.MilliCPU - w.room.Free.MilliCPU, MemoryMB: w.Capacity.MemoryMB - w.room.Free.MemoryMB}
 		var lasting job.Need
 		if w.room.Serving+w.room.Filling > 0 {
 			lasting = lastingOn(w)
@@ -136,7 +136,7 @@
 		if blocked && c.restored[g.Job.Spec.ID] {
 			continue // its instances would stand idle
 		}
-		if g.Capped || g.Beyond {
+		if g.Capped || g.OverRate {
 			continue // no instance would help the one, and nobody owes the other one
 		}
 		step := &g.Job.Spec.Steps[g.Step]
@@ -222,7 +222,7 @@
 func (c *session) wants(row *upkeep.Pool, now time.Time) {
 	p := c.pool(row.Name)
 	instances := c.demand(p, now)
-	c.turns.See(p.name, upkeep.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
+	c.turns.Observe(p.name, upkeep.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
 	p.needs = append(p.needs, need{at: now, instances: max(instances, p.load.lasting+p.load.running)})
 	for len(p.needs) > 0 && now.Sub(p.needs[0].at) > idleFor {
 		p.needs = p.needs[1:]
@@ -235,10 +235,10 @@
 		}
 	}
 	row.Want = instances*(1+spareShare) + spareInstances
-	row.Keep = lately*(1+spareShare) + spareInstances
-	row.Idle = most*(1+spareShare) + spareInstances
-	if c.turns.Fresh(p.name) && now.Sub(c.began) < unknownFor {
-		row.Idle = float64(row.Have)
+	row.Min = lately*(1+spareShare) + spareInstances
+	row.LongTermNeed = most*(1+spareShare) + spareInstances
+	if c.turns.DemandUnknown(p.name) && now.Sub(c.began) < unknownFor {
+		row.LongTermNeed = float64(row.Have)
 	}
 }
 
@@ -253,9 +253,9 @@
 		if row.Headroom {
 			continue
 		}
-		need, used, known := c.turns.Whole(name, now)
+		need, used, known := c.turns.FullDemand(name, now)
 		if need == 0 && !known {
-			if !c.turns.Loaded(name) {
+			if !c.turns.Active(name) {
 				return
 			}
 			needed += max(float64(row.Have), row.Want) // it is at the first turn of all, and keeps what it has
@@ -273,10 +273,10 @@
 	}
 	for name, n := range keep {
 		row := rows[name]
-		if c.turns.Fresh(name) {
-			row.Idle = 0 // not all that it has
+		if c.turns.DemandUnknown(name) {
+			row.LongTermNeed = 0 // not all that it has
 		}
-		row.Idle = max(row.Idle, n)
+		row.LongTermNeed = max(row.LongTermNeed, n)
 	}
 }
 
@@ -284,7 +284,7 @@
 func (c *session) expect(rows map[string]*upkeep.Pool, now time.Time) {
 	for _, e := range c.turns.Next(c.Bounds().Move+2*arrives, now) {
 		if row := rows[e.Pool]; row != nil {
-			row.Soon = c.pool(e.Pool).load.lasting + soonShare*e.Need
+			row.SoonNeed = c.pool(e.Pool).load.lasting + soonShare*e.Need
 		}
 	}
 }
@@ -317,7 +317,7 @@
 				lacks[l]--
 			}
 		}
-		row.Lacks = lacks
+		row.Missing = lacks
 	}
 }
 
@@ -327,7 +327,7 @@
 	blocked := c.blocked(p.name)
 	for _, g := range p.open {
 		step := &g.Job.Spec.Steps[g.Step]
-		if (step.Label == "" && step.PerWorker == 0) || now.Sub(g.Opened) < stuckAfter || g.Capped || g.Beyond || (blocked && c.restored[g.Job.Spec.ID]) {
+		if (step.Label == "" && step.PerWorker == 0) || now.Sub(g.ReadySince) < stuckAfter || g.Capped || g.OverRate || (blocked && c.restored[g.Job.Spec.ID]) {
 			continue
 		}
 		c.countGroup(g, step)
--- a/pool/demand_test.go
+++ b/pool/demand_test.go
@@ -103,7 +103,7 @@
 		b.reports(life, 10, nil)
 	}
 	c.Assert(b.ordered(), quicktest.Equals, 1)
-	b.reports("w1", 20, []work.Row{{Task: taskName, Run: b.task(0).Run, Percent: fullPercent}})
+	b.reports("w1", 20, []work.RunStatus{{Task: taskName, Run: b.task(0).Run, Percent: fullPercent}})
 	now := time.Now()
 	s := &upkeepStep{life: "w1", since: now}
 	c.Assert(b.emptied("m-w1", s, now), quicktest.IsFalse)
@@ -167,17 +167,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newBench(quicktest.New(t), nil)
 			rows := make(map[string]*upkeep.Pool)
-			b.turns.Pools = make(map[string]*upkeep.Turn)
+			b.turns.Pools = make(map[string]*upkeep.Burst)
 			for i := range 3 {
 				name := fmt.Sprint("p", i)
-				rows[name] = &upkeep.Pool{Name: name, Have: test.have, Idle: test.idle}
-				b.turns.Pools[name] = new(upkeep.Turn)
+				rows[name] = &upkeep.Pool{Name: name, Have: test.have, LongTermNeed: test.idle}
+				b.turns.Pools[name] = new(upkeep.Burst)
 				if i < test.over {
-					*b.turns.Pools[name] = upkeep.Turn{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
+					*b.turns.Pools[name] = upkeep.Burst{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
 				}
 			}
 			b.keepTurns(rows, time.Now())
-			b.c.Assert(math.Ceil(rows["p2"].Idle), quicktest.Equals, test.want)
+			b.c.Assert(math.Ceil(rows["p2"].LongTermNeed), quicktest.Equals, test.want)
 		})
 	}
 }
--- a/pool/drain_test.go
+++ b/pool/drain_test.go
@@ -21,7 +21,7 @@
 func drainBench(c *quicktest.C, jobs []*job.Job, lives ...string) *bench {
 	b := newBench(c, jobs, lives...)
 	b.ParseWorker = func(life string, _ []byte) (work.Worker, error) {
-		return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", DataCentre: life[:1], Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", DataCentre: life[:1], Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 	for _, w := range b.workers {
 		w.DataCentre = w.Life[:1]
@@ -108,9 +108,9 @@
 		b.Machines.Move = func(context.Context, string, string, int64) error { return nil }
 		time.Sleep(time.Minute)
 		b.workers["b1"].room.Free.MilliCPU = 3000
-		var rows []work.Row
+		var rows []work.RunStatus
 		for i := range 4 {
-			rows = append(rows, work.Row{Task: fmt.Sprintf("00000000000000a1.0.0.%d", i), Run: int64(i + 1), Percent: 100})
+			rows = append(rows, work.RunStatus{Task: fmt.Sprintf("00000000000000a1.0.0.%d", i), Run: int64(i + 1), Percent: 100})
 		}
 		for i := range 4 {
 			tt := b.task(i)
--- a/pool/fence.go
+++ b/pool/fence.go
@@ -17,7 +17,7 @@
 // that the instance is in changes nothing and fences it. After one that gave the lead up itself nothing is asked, as for moves; a call of
 // such a leader that a cut holds up is not fenced.
 func (c *session) mayLast(w *worker, now time.Time) bool {
-	if c.term.Alone || c.term.Number == 1 || c.fenced[w.Machine] {
+	if c.term.Exclusive || c.term.Number == 1 || c.fenced[w.Machine] {
 		return true
 	}
 	if !c.confirmed(now) {
--- a/pool/fence_test.go
+++ b/pool/fence_test.go
@@ -29,7 +29,7 @@
 		c := quicktest.New(t)
 		lasts := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Lasting: true, Need: job.Need{MilliCPU: 1000}}}}, time.Now())
 		b := newBench(c, []*job.Job{lasts}, "w1")
-		b.term.Alone, b.term.Clean = false, false
+		b.term.Exclusive, b.term.CleanHandover = false, false
 		type call struct {
 			Machine, Pool string
 			Fence         int64
--- a/pool/idle.go
+++ b/pool/idle.go
@@ -30,7 +30,7 @@
 }
 
 // crowded says whether connections to workers are short.
-func (c *session) crowded() bool { return c.Calls.Crowded != nil && c.Calls.Crowded() }
+func (c *session) crowded() bool { return c.Calls.ConnectionsScarce != nil && c.Calls.ConnectionsScarce() }
 
 // restIdle leaves a worker without work alone for a while if asking all such workers is too much for this entry: it has too little processor, or too few
 // connections, and closes the worker's then. It ends when the worker gets work, and when the store no longer confirms the lead: then the workers' answers
@@ -45,7 +45,7 @@
 		return
 	}
 	if crowded {
-		c.Calls.Rest(row)
+		c.Calls.CloseIdle(row)
 	}
 	t := time.NewTimer(rest)
 	defer t.Stop()
--- a/pool/keeping_test.go
+++ b/pool/keeping_test.go
@@ -39,8 +39,8 @@
 		lives = append(lives, fmt.Sprint("w", i))
 	}
 	x := &changing{bench: newBench(c, nil, lives...), takes: 4 * time.Millisecond, ordered: make(map[string]time.Time)}
-	x.SetLoose = func(loose bool) { x.announced = loose }
-	x.LooseKept = func() bool { return x.announced }
+	x.AnnounceUnstoredOrders = func(loose bool) { x.announced = loose }
+	x.UnstoredOrdersAnnounced = func() bool { return x.announced }
 	x.State.Append = func(ctx context.Context, _ feed.Batch) (int64, error) {
 		if sleep(ctx, x.takes); ctx.Err() != nil {
 			return 0, feed.ErrUncertain
@@ -64,7 +64,7 @@
 	for range jobs {
 		x.jobs++
 		s := &job.Spec{ID: fmt.Sprintf("%016x", x.jobs), Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Need: job.Need{MilliCPU: 1}}}}
-		j := x.readIntake(0, record(x.c, job.OwnedBy("", s.ID).HandedInKey(), s), time.Now())
+		j := x.readIntake(0, record(x.c, job.Qualify("", s.ID).SubmissionKey(), s), time.Now())
 		x.openJob(j, time.Now())
 	}
 	for _, m := range x.inbox.take() {
@@ -113,7 +113,7 @@
 func TestAnAnnouncementIsTakenBackThatWasNeverUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := newChanging(quicktest.New(t))
-		x.LooseKept = func() bool { return false }
+		x.UnstoredOrdersAnnounced = func() bool { return false }
 		x.takes = 400 * time.Millisecond
 		x.passFor(450*time.Millisecond, 500)
 		x.c.Assert(x.announced, quicktest.IsTrue)
@@ -138,7 +138,7 @@
 			synctest.Wait()
 			unkept := 0
 			for id := range x.ordered {
-				if j := x.session.jobs[id]; j.KeptVersion < 2 {
+				if j := x.session.jobs[id]; j.StoredVersion < 2 {
 					unkept++
 				}
 			}
@@ -202,7 +202,7 @@
 		}
 		x.takes = 50 * time.Millisecond
 		x.pass(50)
-		x.reports(w.Life, 500, nil, work.End{N: 1, Task: task, Run: number, How: work.Succeeded})
+		x.reports(w.Life, 500, nil, work.EndedRun{Seq: 1, Task: task, Run: number, Outcome: work.Succeeded})
 		x.c.Assert(w.acked.Load(), quicktest.Equals, int64(0), quicktest.Commentf("it is not kept yet"))
 		x.passFor(150*time.Millisecond, 2000)
 		x.c.Assert(w.acked.Load(), quicktest.Equals, int64(1))
--- a/pool/keeplives.go
+++ b/pool/keeplives.go
@@ -37,7 +37,7 @@
 	}
 	size := sizeOf(records)
 	for size < c.batchMost {
-		life, _, ok := c.livesDirty.Next()
+		life, _, ok := c.livesDirty.Pop()
 		if !ok {
 			break
 		}
@@ -99,6 +99,6 @@
 			c.lifeChanged(w.Life)
 			continue
 		}
-		c.livesDirty.Drop(life)
+		c.livesDirty.Remove(life)
 	}
 }
--- a/pool/keepsize_test.go
+++ b/pool/keepsize_test.go
@@ -46,7 +46,7 @@
 func newFullBench(c *quicktest.C) *fullBench {
 	b := newBench(c, nil)
 	x := &fullBench{bench: b, largest: make(map[string]int), state: make(map[string][]byte)}
-	b.RecordMost, b.writer.RecordMost = recordBytes, recordBytes
+	b.MaxRecordBytes, b.writer.MaxRecordBytes = recordBytes, recordBytes
 	b.PutWave = func(context.Context, int64, bool) error { return nil }
 	b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) {
 		x.calls++
@@ -58,12 +58,12 @@
 			x.largest[kind] = max(x.largest[kind], n)
 			x.state[r.Key] = r.Value
 			if n > recordBytes {
-				return 0, &feed.RefusedError{Answer: "status 400"}
+				return 0, &feed.RefusedError{Message: "status 400"}
 			}
 		}
 		x.batch = max(x.batch, size)
 		if size > callBytes {
-			return 0, &feed.RefusedError{Answer: "status 400"}
+			return 0, &feed.RefusedError{Message: "status 400"}
 		}
 		return 1, nil
 	}
@@ -96,7 +96,7 @@
 		q := fmt.Sprintf("r-%07d", i)
 		x.learned(q).runs = 1
 		x.pool(fmt.Sprintf("pool-%04d", i)).ran = 1.5
-		x.turns.See(fmt.Sprintf("pool-%04d", i), upkeep.Load{Need: 1, Used: 1, Have: 1}, x.now())
+		x.turns.Observe(fmt.Sprintf("pool-%04d", i), upkeep.Load{Need: 1, Used: 1, Have: 1}, x.now())
 	}
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: widestStep, Need: job.Need{MilliCPU: 1}}}}, x.now())
 	x.jobs[j.Spec.ID] = j
@@ -124,7 +124,7 @@
 
 // loseRun has the job know of a run that was lost with its worker's life.
 func (x *fullBench) loseRun(t *job.Task, w *worker) {
-	t.Job.Lose(t, job.LostRun{Run: t.Run, Life: w.Life, Suspects: 3})
+	t.Job.RecordLost(t, job.LostRun{Run: t.Run, Life: w.Life, Suspects: 3})
 	t.Job.Version++
 	x.dirty.Add(t.Job.Spec.ID, t.Job)
 }
@@ -204,7 +204,7 @@
 		b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) {
 			for _, r := range batch.Records {
 				if refuses && r.Key == stateKey+"00000000000000a1" && len(r.Value) > 0 {
-					return 0, &feed.RefusedError{Answer: "status 400"}
+					return 0, &feed.RefusedError{Message: "status 400"}
 				}
 			}
 			for _, r := range batch.Records {
@@ -223,7 +223,7 @@
 		}
 		for _, id := range []string{"00000000000000a1", "00000000000000a2"} {
 			s := &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{{Count: 1, Need: job.Need{MilliCPU: 1000}}}}
-			b.openJob(b.readIntake(0, record(c, job.OwnedBy("", id).HandedInKey(), s), b.now()), b.now())
+			b.openJob(b.readIntake(0, record(c, job.Qualify("", id).SubmissionKey(), s), b.now()), b.now())
 		}
 		b.reports("w1", 10, nil)
 		b.reports("w2", 10, nil)
@@ -282,7 +282,7 @@
 func TestTheModeOfRecordsAsideEndsWithTheirJobs(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(c, nil, "w1")
-	b.setAside(&commitEnded{aside: []keep.Aside{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
+	b.setAside(&commitEnded{aside: []keep.RejectedRecord{{Key: lifeKey + "w1", Bytes: 1 << 20}}})
 	c.Assert(b.is(modeAside), quicktest.IsTrue)
 	b.leaveOut(b.workers["w1"], "it is gone")
 	b.watchModes(time.Now())
--- a/pool/learn.go
+++ b/pool/learn.go
@@ -39,7 +39,7 @@
 
 // learnRun takes note of how long a successful run took.
 func (c *session) learnRun(t *job.Task, now time.Time) {
-	took := now.Sub(t.Since).Seconds()
+	took := now.Sub(t.RunSince).Seconds()
 	if t.Spec().Lasting || took <= 0 || t.Saved != "" {
 		return
 	}
@@ -63,7 +63,7 @@
 	l := c.learned(j.Spec.Queue)
 	w := c.jobWork(j, j.Spec.Queue)
 	p := c.pool(c.queue(j).Pool)
-	if !j.Beyond {
+	if !j.OverRate {
 		p.handed = append(p.handed, handed{at: c.now(), work: c.jobLoad(j)})
 	}
 	if l.work == 0 {
@@ -98,7 +98,7 @@
 			from, leftFrom = max(from, ends[a]), max(leftFrom, lefts[a])
 		}
 		ends[i], lefts[i] = from+d, leftFrom
-		if n := j.StepLeft(k, i); n > 0 {
+		if n := j.StepUnfinished(k, i); n > 0 {
 			lefts[i] += d
 			work += float64(n) * d.Seconds() * float64(s.Need.MilliCPU) / 1000
 		}
--- a/pool/lease.go
+++ b/pool/lease.go
@@ -25,5 +25,5 @@
 // doubtOverOn says whether all that earlier leaders can have leased on a worker has ended.
 func (c *session) doubtOverOn(w *worker, now time.Time) bool {
 	stopped, known := c.stoppedBy()
-	return known && now.After(stopped.Add(work.Longest(c.leasedBefore(w))+doubtSlack))
+	return known && now.After(stopped.Add(work.MaxLocal(c.leasedBefore(w))+doubtSlack))
 }
--- a/pool/leave.go
+++ b/pool/leave.go
@@ -58,7 +58,7 @@
 
 // remaining guesses how long the task's run goes on, from its progress or else from its estimate.
 func remaining(t *job.Task, now time.Time) time.Duration {
-	ran := now.Sub(t.Since)
+	ran := now.Sub(t.RunSince)
 	if t.Percent > 0 {
 		return ran * time.Duration(fullPercent-t.Percent) / time.Duration(t.Percent)
 	}
--- a/pool/lessons.go
+++ b/pool/lessons.go
@@ -66,7 +66,7 @@
 func (c *session) learnedSoFar(now time.Time) keptLessons {
 	k := keptLessons{
 		Queues: make(map[string]keptLesson), Ran: make(map[string]float64), Turns: make(map[string]keptTurn),
-		Gap: c.turns.Gap, Last: c.turns.Last, Round: c.turns.Round,
+		Gap: c.turns.Interval, Last: c.turns.Last, Round: c.turns.SecondRound,
 	}
 	for name, l := range c.lessons {
 		k.Queues[name] = keptLesson{Runs: l.runs, Mean: l.mean, Spread: l.spread, Wrong: l.wrong, Work: l.work}
@@ -77,7 +77,7 @@
 		}
 	}
 	for name, t := range c.turns.Pools {
-		kept := keptTurn{Need: t.Need, Loaded: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
+		kept := keptTurn{Need: t.Need, Loaded: t.Active, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if !t.Began.IsZero() {
 			kept.Ago = now.Sub(t.Began)
 		}
@@ -98,9 +98,9 @@
 	for name, ran := range k.Ran {
 		c.pool(name).ran = ran
 	}
-	c.turns = upkeep.Turns{Pools: make(map[string]*upkeep.Turn, len(k.Turns)), Gap: k.Gap, Last: k.Last, Round: k.Round}
+	c.turns = upkeep.Bursts{Pools: make(map[string]*upkeep.Burst, len(k.Turns)), Interval: k.Gap, Last: k.Last, SecondRound: k.Round}
 	for name, t := range k.Turns {
-		row := &upkeep.Turn{Need: t.Need, Loaded: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
+		row := &upkeep.Burst{Need: t.Need, Active: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if t.Ago > 0 {
 			row.Began = now.Add(-t.Ago - lessonsLate)
 		}
--- a/pool/lessons_test.go
+++ b/pool/lessons_test.go
@@ -24,7 +24,7 @@
 			if int(at/(4*time.Second))%3 == i {
 				load = 9
 			}
-			earlier.turns.See(name, upkeep.Load{Need: load, Used: load, Have: 10}, now.Add(at))
+			earlier.turns.Observe(name, upkeep.Load{Need: load, Used: load, Have: 10}, now.Add(at))
 		}
 	}
 	now = now.Add(14 * time.Second)
--- a/pool/load.go
+++ b/pool/load.go
@@ -80,7 +80,7 @@
 }
 
 func (c *session) tryLoad(ctx context.Context) error {
-	fence := feed.Batch{At: -1, Writer: feed.Writer{Name: writer, Epoch: c.term.Fence}}
+	fence := feed.Batch{ExpectedEnd: -1, Writer: feed.Writer{Name: writer, Epoch: c.term.Fence}}
 	call, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if _, err := c.State.Append(call, fence); err != nil {
@@ -103,7 +103,7 @@
 // restoreRuns puts the runs that an earlier leader ordered where they may be; their workers' first reports settle them.
 //
 // A life that is not kept has surely ended: ended takes the runs that were or may have been there.
-func (c *session) restoreRuns(j *job.Job, k job.Kept, ended map[string][]endedRun) {
+func (c *session) restoreRuns(j *job.Job, k job.Stored, ended map[string][]endedRun) {
 	for _, r := range k.Runs {
 		if r.Ordinal < 0 || r.Ordinal >= len(j.Tasks) || j.Tasks[r.Ordinal].Phase != job.Waiting {
 			continue
@@ -116,7 +116,7 @@
 		if w == nil {
 			continue
 		}
-		t.Phase, t.Run, t.Worker, t.Since = job.Starting, r.Run, w.Life, c.now()
+		t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.Run, w.Life, c.now()
 		c.addRun(w, t, &run{number: r.Run, earlier: true, handedOn: over, pace: fullPercent})
 	}
 }
@@ -156,25 +156,25 @@
 func (c *session) take(state feed.KeyedPage, intakes []feed.KeyedPage, list feed.KeyedPage) {
 	now := c.now()
 	clear(c.jobs)
-	kept := make(map[string]job.Kept)
-	lost := make(map[string][]job.KeptLost)
-	late := make(map[string][]job.KeptLate)
+	kept := make(map[string]job.Stored)
+	lost := make(map[string][]job.StoredLost)
+	late := make(map[string][]job.StoredLate)
 	earlier := make(map[string]keptLife)
 	for _, r := range state.Records {
 		switch {
 		case strings.HasPrefix(r.Key, stateKey):
-			var k job.Kept
+			var k job.Stored
 			if c.read(r, &k) {
 				kept[r.Key[len(stateKey):]] = k
 			}
 		case strings.HasPrefix(r.Key, lostKey):
-			var k []job.KeptLost
+			var k []job.StoredLost
 			if c.read(r, &k) {
 				lost[r.Key[len(lostKey):]] = k
 				c.sideKeys[r.Key] = true
 			}
 		case strings.HasPrefix(r.Key, lateKey):
-			var k []job.KeptLate
+			var k []job.StoredLate
 			if c.read(r, &k) {
 				late[r.Key[len(lateKey):]] = k
 				c.sideKeys[r.Key] = true
@@ -200,9 +200,9 @@
 			c.restoreTaken(r, now)
 		}
 	}
-	c.coarse = c.term.Coarse
+	c.coarse = c.term.PredecessorsUnstored
 	c.aloneFrom = now
-	if !c.term.Alone {
+	if !c.term.Exclusive {
 		c.aloneFrom = now.Add(handover)
 	}
 	c.readAt, c.raised = now, time.Time{}
@@ -228,7 +228,7 @@
 			j.RestoreLost(lost[id])
 			j.RestoreLate(late[id], now, timeOfDay(), lateMost)
 			c.restoreRuns(j, k, ended)
-			c.dirty.Drop(id)
+			c.dirty.Remove(id)
 		}
 		c.restored[id] = true
 		j.From = now.Add(-ageOf(j.Spec.Taken, timeOfDay()))
@@ -332,7 +332,7 @@
 
 // readIntake adds the job that a record hands in, and returns it if it is new.
 func (c *session) readIntake(part int, r feed.KeyedRecord, now time.Time) *job.Job {
-	name, ok := job.HandedIn(r.Key)
+	name, ok := job.ParseSubmissionKey(r.Key)
 	if !ok || len(r.Value) == 0 {
 		return nil
 	}
@@ -351,7 +351,7 @@
 	}
 	spec.Organisation = organisation
 	j := job.New(spec, now)
-	j.KeptVersion = j.Version // the intake itself keeps a new job
+	j.StoredVersion = j.Version // the intake itself keeps a new job
 	c.jobs[spec.ID] = j
 	if c.cancelled[name] {
 		c.cancel(j, now)
@@ -361,7 +361,7 @@
 
 // readCancel applies a record's wish to cancel, which may come before its job through another partition.
 func (c *session) readCancel(part int, r feed.KeyedRecord, now time.Time) {
-	name, ok := job.CancelWished(r.Key)
+	name, ok := job.ParseCancelKey(r.Key)
 	if !ok || len(r.Value) == 0 {
 		return
 	}
@@ -385,7 +385,7 @@
 
 // changed marks a job for the next commit, and settles one that has ended.
 func (c *session) changed(j *job.Job) {
-	if j.Version > j.KeptVersion {
+	if j.Version > j.StoredVersion {
 		c.dirty.Add(j.Spec.ID, j)
 	}
 	if !j.State.Ended() {
--- a/pool/loose.go
+++ b/pool/loose.go
@@ -47,10 +47,10 @@
 		return
 	}
 	c.setMode(modeStoreSlow, true, now, "a batch is not answered")
-	c.SetLoose(true)
+	c.AnnounceUnstoredOrders(true)
 	since := c.commitSince
 	switch confirmed := c.ConfirmedAt(); {
-	case c.LooseKept():
+	case c.UnstoredOrdersAnnounced():
 	case now.Sub(confirmed) > blindFor(c.sure):
 		since = confirmed.Add(blindFor(c.sure))
 	default:
@@ -75,21 +75,21 @@
 	if !c.is(modeStoreSlow) || len(c.unkept) > 0 {
 		return
 	}
-	c.SetLoose(false)
+	c.AnnounceUnstoredOrders(false)
 	c.setMode(modeUnkeptOrders, false, now, why)
 	c.setMode(modeStoreSlow, false, now, why)
 }
 
 // noteUnkept notes that a run was ordered that no batch holds which the store has taken.
 func (c *session) noteUnkept(j *job.Job) {
-	if j.Version > j.KeptVersion {
+	if j.Version > j.StoredVersion {
 		c.unkept[j] = j.Version
 	}
 }
 
 // noteKept forgets orders that are kept now.
 func (c *session) noteKept(j *job.Job) {
-	if v, ok := c.unkept[j]; ok && j.KeptVersion >= v {
+	if v, ok := c.unkept[j]; ok && j.StoredVersion >= v {
 		delete(c.unkept, j)
 	}
 }
--- a/pool/lost.go
+++ b/pool/lost.go
@@ -60,13 +60,13 @@
 		}
 		switch {
 		case tried && t == w.trial:
-			l.Suspects, l.Tried, l.Proved = 1, true, age <= atOnce && r.confirmed > 0
+			l.Suspects, l.Isolated, l.Conclusive = 1, true, age <= atOnce && r.confirmed > 0
 		case !tried && age <= youngest:
 			l.Suspects = suspects
 		}
 		c.counts.runsLost.Inc(1)
 		c.emit(event.RunLost, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d age=%v newest=%v beside=%d suspects=%d tried=%t planned=%t lives=%d machine=%s",
-			r.number, age.Round(time.Millisecond), newest.Round(time.Millisecond), beside-1, l.Suspects, l.Tried, planned, len(t.Lost), w.Machine)
+			r.number, age.Round(time.Millisecond), newest.Round(time.Millisecond), beside-1, l.Suspects, l.Isolated, planned, len(t.Lost), w.Machine)
 		if !planned {
 			c.loseRun(t, l, age)
 		}
@@ -126,11 +126,11 @@
 // The run was as old as age at the least.
 func (c *session) loseRun(t *job.Task, l job.LostRun, age time.Duration) {
 	if t.Spec().Lasting && age > trialMost {
-		t.Job.Refute(t) // it has run far longer than what ends a life by starting
+		t.Job.ClearLost(t) // it has run far longer than what ends a life by starting
 		c.changed(t.Job)
 		return
 	}
-	if !t.Job.Lose(t, l) {
+	if !t.Job.RecordLost(t, l) {
 		return
 	}
 	c.dirty.Add(t.Job.Spec.ID, t.Job)
@@ -140,7 +140,7 @@
 // neverThere takes back that a run was lost with a life which had ended before its order came there.
 func (c *session) neverThere(t *job.Task, run int64) {
 	before := len(t.Lost)
-	t.Job.NeverThere(t, run)
+	t.Job.RetractLost(t, run)
 	if len(t.Lost) < before && !t.Job.State.Ended() {
 		c.dirty.Add(t.Job.Spec.ID, t.Job)
 		c.dirtyPool(c.queue(t.Job).Pool)
@@ -150,13 +150,13 @@
 // giveUpHopeless ends the job of a task under which too many lives have ended; nothing of the job starts again.
 func (c *session) giveUpHopeless(t *job.Task) {
 	j := t.Job
-	if !t.Hopeless() || j.State.Ended() {
+	if !t.ExceedsLossLimit() || j.State.Ended() {
 		return
 	}
 	j.GiveUp(t, c.now())
 	last := t.Lost[len(t.Lost)-1]
 	c.counts.givenUp.Inc(1)
-	c.emit(event.JobGivenUp, event.Subject{Job: t.Name(), Instance: last.Life}, "lives=%d proved=%t age=%v state=%v", len(t.Lost), last.Proved, last.Age.Round(time.Millisecond), j.State)
+	c.emit(event.JobGivenUp, event.Subject{Job: t.Name(), Instance: last.Life}, "lives=%d proved=%t age=%v state=%v", len(t.Lost), last.Conclusive, last.Age.Round(time.Millisecond), j.State)
 	c.changed(j)
 	if j.State.Ended() {
 		c.stopAll(j, "a task of the job crashes its workers")
@@ -165,7 +165,7 @@
 
 // trialFor returns how long a suspect is tried for.
 func trialFor(t *job.Task) time.Duration {
-	return min(max(trialTimes*t.LongestLost(), trialLeast), trialMost)
+	return min(max(trialTimes*t.MaxLostAge(), trialLeast), trialMost)
 }
 
 // endTrials clears the suspects that have gone on for long enough, and frees the workers of those that have ended.
@@ -180,7 +180,7 @@
 		case r.began.IsZero() || !w.silentSince.IsZero() || now.Sub(r.began) <= trialFor(t):
 			continue
 		default:
-			t.Job.Clear(t)
+			t.Job.ClearSuspicion(t)
 			c.dirtyPool(w.Pool)
 		}
 		w.trial = nil
@@ -195,7 +195,7 @@
 }
 
 // placeApart starts suspects, and returns the rooms that are left for others.
-func (c *session) placeApart(p *poolRow, groups []*place.Group, rooms []*place.Room, draft *org.Draft, now time.Time) []*place.Room {
+func (c *session) placeApart(p *poolRow, groups []*place.Group, rooms []*place.Candidate, draft *org.Draft, now time.Time) []*place.Candidate {
 	if !anySuspect(groups) {
 		return rooms
 	}
@@ -205,7 +205,7 @@
 			most, risk, going = most-1, risk-w.trial.Risk(), true
 		}
 	}
-	choices, rest := place.Apart(groups, rooms, place.Trials{Most: most, Risk: risk, Going: going, Draft: draft})
+	choices, rest := place.PlaceSuspects(groups, rooms, place.TrialLimits{Max: most, MaxRisk: risk, Ongoing: going, Draft: draft})
 	for _, x := range choices {
 		c.startChoice(x, now)
 	}
--- a/pool/lost_test.go
+++ b/pool/lost_test.go
@@ -101,8 +101,8 @@
 // lostOnce has a life end under a task, which waits again.
 func (b *bench) lostOnce(index int) {
 	t := b.task(index)
-	t.Job.Lose(t, job.LostRun{Run: 1, Life: "w0", Suspects: 2})
-	t.Job.KeptVersion = t.Job.Version
+	t.Job.RecordLost(t, job.LostRun{Run: 1, Life: "w0", Suspects: 2})
+	t.Job.StoredVersion = t.Job.Version
 }
 
 func TestASuspectThatEndsItsNextLifeAtOnceIsGivenUp(t *testing.T) {
@@ -182,7 +182,7 @@
 		c.Assert(b.ordered(), quicktest.Equals, 1)
 		b.sendPlanned() // the store does not answer
 		c.Assert(b.planned, quicktest.HasLen, 1)
-		c.Assert(b.task(0).Job.KeepLost(), quicktest.HasLen, 1)
+		c.Assert(b.task(0).Job.StoredLost(), quicktest.HasLen, 1)
 	})
 }
 
--- a/pool/misread_test.go
+++ b/pool/misread_test.go
@@ -21,7 +21,7 @@
 		if value[0] == 0 {
 			return work.Worker{}, errors.New("bytes that can't be read")
 		}
-		return work.Worker{Life: life, Machine: "m-" + life, Pool: string(value), Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Life: life, Machine: "m-" + life, Pool: string(value), Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 }
 
--- a/pool/modes.go
+++ b/pool/modes.go
@@ -78,7 +78,7 @@
 // watchModes keeps those modes true that follow from other tables.
 func (c *session) watchModes(now time.Time) {
 	c.setMode(modeUnconfirmed, !c.confirmed(now), now, "newest confirmed renewal")
-	c.setMode(modeHearing, !c.term.Clean && c.raised.IsZero(), now, "half of the instances have this leader's token")
+	c.setMode(modeHearing, !c.term.CleanHandover && c.raised.IsZero(), now, "half of the instances have this leader's token")
 	if len(c.unheard) == 0 {
 		c.takeoverStep("all-heard", now)
 	}
--- a/pool/orders.go
+++ b/pool/orders.go
@@ -38,7 +38,7 @@
 
 // start plans a run of the task. Its order leaves once the run is kept, so that the next leader knows where it may be.
 func (c *session) start(w *worker, t *job.Task, r *run, now time.Time) {
-	t.Phase, t.Run, t.Worker, t.Since = job.Starting, r.number, w.Life, now
+	t.Phase, t.Run, t.Worker, t.RunSince = job.Starting, r.number, w.Life, now
 	t.Stopping, t.AtWork, t.Percent, t.Gauge = false, false, 0, 0
 	c.addRun(w, t, r)
 	w.newestAt = now
@@ -86,7 +86,7 @@
 		return
 	}
 	// The room may have shrunk since it was decided, and the cap been lowered.
-	if t.Job.State.Ended() || !w.usable(now) || w.room.Free.Lacks() || c.ledger.Over(t.Job.Spec.Organisation, t.Spec().Need) {
+	if t.Job.State.Ended() || !w.usable(now) || w.room.Free.AnyNegative() || c.ledger.OverCap(t.Job.Spec.Organisation, t.Spec().Need) {
 		w.drop(t)
 		c.requeue(t)
 		return
@@ -154,7 +154,7 @@
 		w.rest(now)
 	case m.err != nil:
 		c.startUnanswered(w, t, r, m.err)
-	case m.answer.Refusal == work.Done:
+	case m.answer.Refusal == work.Accepted:
 		w.rests, w.unknownJob = 0, nil
 		t.Refused = 0
 		c.confirm(w, t, r, m.answer.Clock)
@@ -196,7 +196,7 @@
 	switch why {
 	case work.NoRoom, work.Unhealthy:
 		w.rest(now)
-	case work.Unknown:
+	case work.InvalidOrder:
 		// One job that workers take for a mistake must not keep its pool from others; a worker that takes several for mistakes is at fault.
 		if w.unknownJob != nil && w.unknownJob != t.Job {
 			w.rest(now)
@@ -241,7 +241,7 @@
 	}
 	r.stopSent, r.sentAt = true, c.now()
 	t.Stopping = true
-	c.emit(event.RunStopped, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", r.number, why)
+	c.emit(event.StopOrdered, event.Subject{Job: t.Name(), Instance: w.Life}, "run=%d why=%q", r.number, why)
 	c.sendStop(w, t, r.number)
 }
 
@@ -251,7 +251,7 @@
 		return
 	}
 	w.strays[number] = c.now()
-	c.emit(event.RunStopped, event.Subject{Job: name, Instance: w.Life}, "run=%d why=%q", number, why)
+	c.emit(event.StopOrdered, event.Subject{Job: name, Instance: w.Life}, "run=%d why=%q", number, why)
 	c.callStop(w, name, number, nil)
 }
 
@@ -294,7 +294,7 @@
 		c.tokenRefused(w, m.token)
 	case work.OtherLife:
 		c.strangerAnswered(w, m.answer)
-	case work.Done:
+	case work.Accepted:
 		if r := w.runs[m.task]; r != nil && r.number == m.run {
 			r.stopped = m.answer.Clock
 		}
--- a/pool/owner.go
+++ b/pool/owner.go
@@ -13,7 +13,7 @@
 
 // question is a Question on its way to the control goroutine.
 type question struct {
-	job.Question
+	job.Query
 	reply chan<- job.Answer
 }
 
@@ -26,16 +26,16 @@
 		m.reply <- job.Answer{Known: true, Pending: c.pending(m.Queue)}
 		return
 	}
-	if _, ok := c.taken[job.OwnedBy(m.Organisation, m.ID)]; ok {
+	if _, ok := c.taken[job.Qualify(m.Organisation, m.ID)]; ok {
 		m.reply <- job.Answer{Known: true, State: job.Failed, Organisation: m.Organisation}
 		return
 	}
 	j := c.jobs[m.ID]
-	if j == nil || !m.Sees(j.Spec) {
+	if j == nil || !m.MaySee(j.Spec) {
 		m.reply <- job.Answer{Certain: c.isFresh()}
 		return
 	}
-	m.reply <- job.Answer{Known: true, State: j.Shown(), Organisation: j.Spec.Organisation}
+	m.reply <- job.Answer{Known: true, State: j.VisibleState(), Organisation: j.Spec.Organisation}
 }
 
 // takenID is a job whose ID another organisation's job had: workers know tasks by the ID alone, so that it can't run.
@@ -46,7 +46,7 @@
 
 // idTaken says whether a job with the ID is in the tables that another organisation handed in, and settles the one that comes second:
 // it is shown as failed to its own organisation, at once, and never touches the first. That is kept, so that each leader decides alike.
-func (c *session) idTaken(name job.Owned, part int) bool {
+func (c *session) idTaken(name job.QualifiedID, part int) bool {
 	organisation, id := name.Parts()
 	if _, ok := c.taken[name]; ok {
 		return true
@@ -83,7 +83,7 @@
 
 // restoreTaken takes over what an earlier leader has kept of a job that came second.
 func (c *session) restoreTaken(r feed.KeyedRecord, now time.Time) {
-	c.taken[job.Owned(strings.TrimPrefix(r.Key, takenKey))] = &takenID{since: now, kept: true}
+	c.taken[job.QualifiedID(strings.TrimPrefix(r.Key, takenKey))] = &takenID{since: now, kept: true}
 }
 
 // forgetTaken drops those whose state is owed to nobody any more.
--- a/pool/pending.go
+++ b/pool/pending.go
@@ -174,7 +174,7 @@
 }
 
 // ackAfter returns the time before which an end must not be acknowledged, or the zero time if the end only has to be stored first.
-func (c *session) ackAfter(w *worker, e work.End, now time.Time) time.Time {
+func (c *session) ackAfter(w *worker, e work.EndedRun, now time.Time) time.Time {
 	t := c.task(e.Task)
 	if t == nil || w.Birth == 0 || !t.MayComeLate(now) {
 		return time.Time{}
--- a/pool/pending_test.go
+++ b/pool/pending_test.go
@@ -64,8 +64,8 @@
 		phase   job.Phase
 		late    bool
 	}{
-		{"answered at once", []work.Refusal{work.Done}, 1, job.Active, false},
-		{"the second attempt is answered", []work.Refusal{unanswered, work.Done}, 2, job.Active, true},
+		{"answered at once", []work.Refusal{work.Accepted}, 1, job.Active, false},
+		{"the second attempt is answered", []work.Refusal{unanswered, work.Accepted}, 2, job.Active, true},
 		{"the second attempt is refused", []work.Refusal{unanswered, work.NoRoom}, 2, job.Starting, true},
 		{"no attempt is answered", nil, startAttempts, job.Starting, true},
 		{"refused at once", []work.Refusal{work.NoRoom}, 1, job.Waiting, false},
@@ -108,12 +108,12 @@
 // TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate guards against a task whose end was acknowledged and that runs again on the next life
 // under its worker's ID.
 func TestAnEndIsAcknowledgedOnceNoStartOfItsTaskCanComeLate(t *testing.T) {
-	for _, how := range [...]work.How{work.Succeeded, work.Failed} {
+	for _, how := range [...]work.Outcome{work.Succeeded, work.Failed} {
 		synctest.Test(t, func(t *testing.T) {
 			c := quicktest.New(t)
-			b, _ := pendingBench(c, unanswered, work.Done)
+			b, _ := pendingBench(c, unanswered, work.Accepted)
 			w := b.workers["w@9"]
-			b.reports("w@9", 100, nil, work.End{N: 1, Task: taskName, Run: b.task(0).Run, How: how})
+			b.reports("w@9", 100, nil, work.EndedRun{Seq: 1, Task: taskName, Run: b.task(0).Run, Outcome: how})
 			b.keeps()
 			c.Assert(w.acked.Load(), quicktest.Equals, int64(0))
 			c.Assert(w.ackDelayed.Load(), quicktest.IsTrue)
@@ -131,7 +131,7 @@
 func TestARunWhoseStartMayComeLateIsLookedForAtTheNextLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b, _ := pendingBench(c, unanswered, work.Done)
+		b, _ := pendingBench(c, unanswered, work.Accepted)
 		token := b.workers["w@9"].token.Load()
 		holdEnded{worker: b.workers["w@9"], err: work.ErrNotSent}.apply(b.session)
 		c.Assert(b.workers["w@9"].token.Load() > token, quicktest.IsTrue, quicktest.Commentf("the next answering life must see a token above the start's"))
@@ -149,7 +149,7 @@
 func TestATaskStaysWithItsWorkerIDWhileItsStartMayComeLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		b, sent := pendingBench(c, unanswered, work.Done)
+		b, sent := pendingBench(c, unanswered, work.Accepted)
 		b.lists("v", 9) // another worker with room
 		b.reports("v@9", 50, nil)
 		time.Sleep(2 * suspectMost) // makes the run too old to be suspected of ending the life
@@ -185,7 +185,7 @@
 		for _, m := range b.inbox.take() {
 			m.apply(b.session)
 		}
-		b.reports("w@9", 300, nil, work.End{N: 1, Task: taskName, Run: b.task(0).Run, How: work.Succeeded})
+		b.reports("w@9", 300, nil, work.EndedRun{Seq: 1, Task: taskName, Run: b.task(0).Run, Outcome: work.Succeeded})
 		b.keeps()
 		c.Assert(b.workers["w@9"].acked.Load(), quicktest.Equals, int64(0))
 		b.settles()
@@ -200,7 +200,7 @@
 		b, _ := pendingBench(c)
 		state := feed.KeyedPage{Records: b.keepJobs(&commitEnded{versions: make(map[*job.Job]int64)}, nil)}
 		j := b.jobs["00000000000000a1"]
-		intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
+		intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 		next := bornBench(c, one(1))
 		next.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 		next.reports("w@9", 60_000, nil)
--- a/pool/placing.go
+++ b/pool/placing.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for step := range j.Spec.Steps {
-		if j.StepLeft(k, step) > 0 && j.StepOpen(k, step, timeOfDay()) {
+		if j.StepUnfinished(k, step) > 0 && j.StepOpen(k, step, timeOfDay()) {
 			c.openStep(j, k, step)
 		}
 	}
@@ -58,7 +58,7 @@
 	q := c.queue(j)
 	p := c.pool(q.Pool)
 	key := groupKey{job: j.Spec.ID, time: k, step: step}
-	g := &place.Group{Job: j, Time: k, Step: step, Priority: q.Priority, Lasting: j.Spec.Steps[step].Lasting, Beyond: j.Beyond, Since: j.From, Opened: c.now()}
+	g := &place.Group{Job: j, Time: k, Step: step, Priority: q.Priority, Lasting: j.Spec.Steps[step].Lasting, OverRate: j.OverRate, Since: j.From, ReadySince: c.now()}
 	tasks := j.StepTasks(k, step)
 	for i := range tasks {
 		if startable(&tasks[i]) {
@@ -70,7 +70,7 @@
 		return
 	}
 	if before := p.open[key]; before != nil {
-		g.Capped, g.ToldCapped = before.Capped, before.ToldCapped
+		g.Capped, g.CappedLogged = before.Capped, before.CappedLogged
 	}
 	p.open[key] = g
 	p.dirty = true
@@ -86,7 +86,7 @@
 	}
 	whole, left, work := c.chains(j, g.Time, q.Name)
 	e := place.Estimate{
-		From: from, Aim: time.Duration(q.Stretch*float64(whole)) + q.Target, Whole: whole, Left: left,
+		From: from, Target: time.Duration(q.Stretch*float64(whole)) + q.Target, Total: whole, Remaining: left,
 		Density: earns(c.jobWork(j, q.Name)/max(c.learned(q.Name).work, minWork)) / max(work, minWork),
 	}
 	g.Outlook = e.At(now)
@@ -118,8 +118,8 @@
 	}
 	now := c.now()
 	t.Phase, t.Worker, t.Stopping = job.Waiting, "", false
-	if t.Spec().Lasting && (t.AtWork || t.Gone.IsZero()) {
-		t.Gone = now
+	if t.Spec().Lasting && (t.AtWork || t.DownSince.IsZero()) {
+		t.DownSince = now
 	}
 	t.AtWork = false
 	if t.Job.StepOpen(t.Time, t.Step, timeOfDay()) {
@@ -159,7 +159,7 @@
 	}
 	groups := c.groups(p, now)
 	draft := c.draft()
-	place.OrderShared(groups, place.Shares{Draft: draft, Whole: c.room()})
+	place.OrderShared(groups, place.Shares{Draft: draft, Total: c.room()})
 	rooms = c.placeApart(p, groups, rooms, draft, now)
 	for _, x := range place.Tasks(groups, rooms, draft) {
 		c.startChoice(x, now)
@@ -174,10 +174,10 @@
 }
 
 // rooms returns copies of the rooms of the pool's usable workers.
-func (c *session) rooms(p *poolRow, now time.Time) []*place.Room {
-	copies := make([]place.Room, 0, len(c.workers))
+func (c *session) rooms(p *poolRow, now time.Time) []*place.Candidate {
+	copies := make([]place.Candidate, 0, len(c.workers))
 	sure := c.confirmed(now)
-	guards := c.config != nil && c.config.Pools[p.name].Guards
+	guards := c.config != nil && c.config.Pools[p.name].AdmissionCheck
 	for _, w := range c.workers {
 		if w.Pool != p.name {
 			continue
@@ -190,12 +190,12 @@
 		}
 		if w.usable(now) && w.trial == nil && c.workersKept[w.Life] && (w.sure || sure) {
 			r := w.room
-			r.Fresh = now.Sub(w.newestAt) <= alikeWithin
+			r.RecentStart = now.Sub(w.newestAt) <= alikeWithin
 			r.Cold = now.Before(w.coldUntil)
 			copies = append(copies, r)
 		}
 	}
-	rooms := make([]*place.Room, len(copies))
+	rooms := make([]*place.Candidate, len(copies))
 	for i := range copies {
 		rooms[i] = &copies[i]
 	}
@@ -234,8 +234,8 @@
 			continue
 		}
 		c.countGroup(g, step)
-		if now.Sub(g.Ranked) > rankFor {
-			g.Ranked = now
+		if now.Sub(g.RankedAt) > rankFor {
+			g.RankedAt = now
 			c.rank(g, now)
 		}
 		groups = append(groups, g)
@@ -246,7 +246,7 @@
 // mayBeUnkept says whether an earlier leader may have started, or may still start, what is not kept: one that went on without the store, or that
 // may do so until half of the instances have this leader's token.
 func (c *session) mayBeUnkept() bool {
-	return c.coarse || (!c.term.Clean && c.raised.IsZero())
+	return c.coarse || (!c.term.CleanHandover && c.raised.IsZero())
 }
 
 // blocked says whether a worker of the pool that has not answered may still run what an earlier leader started.
@@ -289,8 +289,8 @@
 func holdBack(tasks []*job.Task, now time.Time) int {
 	held := 0
 	for _, t := range tasks {
-		t.Held = now.Before(t.NotBefore) || t.MayComeLate(now)
-		if t.Held {
+		t.BackingOff = now.Before(t.NotBefore) || t.MayComeLate(now)
+		if t.BackingOff {
 			held++
 		}
 	}
@@ -298,7 +298,7 @@
 }
 
 // startable says whether a task waits for a run and may have one.
-func startable(t *job.Task) bool { return t.Phase == job.Waiting && !t.Parked() }
+func startable(t *job.Task) bool { return t.Phase == job.Waiting && !t.GivenUp() }
 
 func waiting(tasks []*job.Task) []*job.Task {
 	kept := tasks[:0]
@@ -313,7 +313,7 @@
 // startChoice orders what placement chose; the members of a gang share one run number and what was saved.
 func (c *session) startChoice(x place.Choice, now time.Time) {
 	t := x.Task
-	w := c.workers[x.Room.Worker.Life]
+	w := c.workers[x.Candidate.Worker.Life]
 	if t.Spec().Lasting && !c.mayLast(w, now) {
 		return // it waits on
 	}
@@ -323,7 +323,7 @@
 	} else {
 		number = c.nextRun()
 	}
-	if x.Apart {
+	if x.Isolated {
 		c.try(w, t, number)
 	}
 	c.start(w, t, &run{number: number, sentAt: now, pace: fullPercent, ticket: x.Ticket, slack: x.Slack}, now)
--- a/pool/proof.go
+++ b/pool/proof.go
@@ -123,7 +123,7 @@
 	instances := c.instances(len(c.lives))
 	now = c.exact(now)
 	// Also while half of them are not heard: this leader may be lost before they are, and the next one knows nothing of the leader before this one.
-	if now.After(c.term.Renewed.Add(raisedWithin(instances))) {
+	if now.After(c.term.PredecessorRenewed.Add(raisedWithin(instances))) {
 		c.beCoarse("half of the workers were not heard in time")
 	}
 	if 2*c.heard < instances || !c.heardOfEarlier() {
@@ -171,12 +171,12 @@
 // tellOfEarlier publishes what is still open of the leaders before, for the next one.
 func (c *session) tellOfEarlier(now time.Time) {
 	stopped, known := c.stoppedBy()
-	c.SetEarlier(!known || now.Before(stopped), c.coarse && !c.doubtOver(now))
+	c.PublishEarlierLeaders(!known || now.Before(stopped), c.coarse && !c.doubtOver(now))
 }
 
 // beCoarse takes it that the earlier leader may have started what is not kept.
 func (c *session) beCoarse(why string) {
-	if c.coarse || c.term.Clean {
+	if c.coarse || c.term.CleanHandover {
 		return
 	}
 	c.coarse = true
@@ -185,7 +185,7 @@
 
 // stoppedBy returns by when the earlier leader has surely given its last order to a worker; false while nobody can say.
 func (c *session) stoppedBy() (time.Time, bool) {
-	if c.term.Alone {
+	if c.term.Exclusive {
 		return c.readAt, true
 	}
 	if c.raised.IsZero() {
@@ -197,5 +197,5 @@
 // doubtOver says whether all that the earlier leader can have leased on any worker has ended.
 func (c *session) doubtOver(now time.Time) bool {
 	stopped, known := c.stoppedBy()
-	return known && now.After(stopped.Add(work.Longest(c.Bounds().Lease)+doubtSlack))
+	return known && now.After(stopped.Add(work.MaxLocal(c.Bounds().Lease)+doubtSlack))
 }
--- a/pool/raised_test.go
+++ b/pool/raised_test.go
@@ -25,7 +25,7 @@
 func TestLivesThatBeganLaterDoNotStopTheEarlierLeader(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(c, nil, "w1", "w2", "w3", "w4")
-	b.term.Alone, b.term.Clean = false, false
+	b.term.Exclusive, b.term.CleanHandover = false, false
 	b.reports("w1", 100, nil)
 	for i := range 5 {
 		life := fmt.Sprint("new", i)
@@ -50,9 +50,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1", "w2", "w3", "w4")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		var open, coarse bool
-		b.SetEarlier = func(o, k bool) { open, coarse = o, k }
+		b.PublishEarlierLeaders = func(o, k bool) { open, coarse = o, k }
 		b.reports("w1", 100, nil)
 		time.Sleep(raisedWithin(4))
 		b.watchLeases(time.Now())
--- a/pool/report.go
+++ b/pool/report.go
@@ -38,7 +38,7 @@
 		c.strangerAnswered(w, m.report.Answer)
 	case m.report.Refusal == work.Fenced:
 		c.tokenRefused(w, m.token)
-	case m.report.Refusal != work.Done:
+	case m.report.Refusal != work.Accepted:
 		w.asked = m.asked
 	default:
 		c.answered(w, m, now)
@@ -76,9 +76,9 @@
 		w.silentSince = time.Time{}
 		c.dirtyPool(w.Pool)
 	}
-	slices.SortFunc(rep.Ended, func(a, b work.End) int { return cmp.Compare(a.N, b.N) })
+	slices.SortFunc(rep.Ended, func(a, b work.EndedRun) int { return cmp.Compare(a.Seq, b.Seq) })
 	for _, e := range rep.Ended {
-		if e.N <= w.processed {
+		if e.Seq <= w.processed {
 			continue
 		}
 		if c.mayBeUnread(e.Task, now) {
@@ -86,7 +86,7 @@
 		}
 		ackAfter := c.ackAfter(w, e, now)
 		c.endRun(w, e, now)
-		w.processed = e.N
+		w.processed = e.Seq
 		w.ends = append(w.ends, c.unkeptEnd(e, ackAfter))
 	}
 	c.ackKept(w)
@@ -117,7 +117,7 @@
 	w.heard = true
 	c.heard++
 	if stopped, known := c.stoppedBy(); w.before || !known || !w.since.After(stopped) || w.needs.Load() > 0 {
-		w.bound(now.Add(work.Longest(c.leasedBefore(w)))) // an earlier leader, or a late call to the life before, may have leased it for as long just before
+		w.bound(now.Add(work.MaxLocal(c.leasedBefore(w)))) // an earlier leader, or a late call to the life before, may have leased it for as long just before
 	}
 	c.countRaised(now)
 	c.endOtherLives(w)
@@ -126,12 +126,12 @@
 }
 
 // unkeptEnd returns what must be kept before the worker may forget the end.
-func (c *session) unkeptEnd(e work.End, ackAfter time.Time) unkeptEnd {
+func (c *session) unkeptEnd(e work.EndedRun, ackAfter time.Time) unkeptEnd {
 	t := c.task(e.Task)
 	if t == nil {
-		return unkeptEnd{n: e.N}
+		return unkeptEnd{n: e.Seq}
 	}
-	return unkeptEnd{n: e.N, job: t.Job, version: t.Job.Version, ackAfter: ackAfter}
+	return unkeptEnd{n: e.Seq, job: t.Job, version: t.Job.Version, ackAfter: ackAfter}
 }
 
 // task returns the task that a worker names, or nil when no such task is known.
@@ -162,7 +162,7 @@
 }
 
 // running takes in a run that a worker lists; it returns the task if the run is the task's latest.
-func (c *session) running(w *worker, row work.Row, clock work.Clock, now time.Time) *job.Task {
+func (c *session) running(w *worker, row work.RunStatus, clock work.Clock, now time.Time) *job.Task {
 	t := c.task(row.Task)
 	switch {
 	case t == nil && c.mayBeUnread(row.Task, now):
@@ -187,7 +187,7 @@
 	}
 	t.Percent, t.Gauge = row.Percent, row.Gauge
 	if t.Spec().Lasting && row.Percent >= fullPercent && !t.AtWork {
-		t.AtWork, t.Gone = true, time.Time{}
+		t.AtWork, t.DownSince = true, time.Time{}
 	}
 	if t.Job.State.Ended() && !r.stopSent {
 		c.stopTask(w, t, "its job has ended")
@@ -206,11 +206,11 @@
 }
 
 // adopt takes over a run that an earlier leader started.
-func (c *session) adopt(w *worker, t *job.Task, row work.Row, clock work.Clock) bool {
+func (c *session) adopt(w *worker, t *job.Task, row work.RunStatus, clock work.Clock) bool {
 	if t.Phase != job.Waiting || t.Job.State.Ended() {
 		return false
 	}
-	t.Phase, t.Run, t.Worker, t.Since = job.Active, row.Run, w.Life, c.now()
+	t.Phase, t.Run, t.Worker, t.RunSince = job.Active, row.Run, w.Life, c.now()
 	t.Job.Began = true
 	t.Job.Version++
 	c.dirty.Add(t.Job.Spec.ID, t.Job)
@@ -270,7 +270,7 @@
 }
 
 // endRun takes in the end of a run.
-func (c *session) endRun(w *worker, e work.End, now time.Time) {
+func (c *session) endRun(w *worker, e work.EndedRun, now time.Time) {
 	t := c.task(e.Task)
 	if t == nil {
 		return
@@ -282,15 +282,15 @@
 		current = t.Run == e.Run && t.Phase != job.Finished
 	}
 	c.dirtyPool(w.Pool)
-	c.emit(event.RunEnded, event.Subject{Job: e.Task, Instance: w.Life}, "run=%d how=%v n=%d", e.Run, e.How, e.N)
+	c.emit(event.RunEnded, event.Subject{Job: e.Task, Instance: w.Life}, "run=%d how=%v n=%d", e.Run, e.Outcome, e.Seq)
 	if e.Saved != "" {
 		t.Saved = e.Saved
 	}
-	c.counts.ended(e.How.String())
-	if current && e.How != work.Succeeded && !t.Spec().Lasting && t.Saved == "" {
-		c.counts.wasted(e.How.String(), now.Sub(t.Since).Seconds()*float64(t.Spec().Need.MilliCPU)/1000)
+	c.counts.ended(e.Outcome.String())
+	if current && e.Outcome != work.Succeeded && !t.Spec().Lasting && t.Saved == "" {
+		c.counts.wasted(e.Outcome.String(), now.Sub(t.RunSince).Seconds()*float64(t.Spec().Need.MilliCPU)/1000)
 	}
-	switch e.How {
+	switch e.Outcome {
 	case work.Succeeded:
 		w.failures = 0
 		if current {
@@ -328,7 +328,7 @@
 		}
 		j.Done(m, now)
 	}
-	if j.StepLeft(t.Time, t.Step) == 0 && !j.State.Ended() {
+	if j.StepUnfinished(t.Time, t.Step) == 0 && !j.State.Ended() {
 		c.openTime(j, t.Time, now)
 	}
 }
@@ -343,11 +343,11 @@
 }
 
 // failTask takes note of a failure and learns from it about the worker.
-func (c *session) failTask(w *worker, t *job.Task, e work.End, now time.Time) {
+func (c *session) failTask(w *worker, t *job.Task, e work.EndedRun, now time.Time) {
 	news := t.Job.Fail(t, e.Run, c.queue(t.Job).Attempts, now)
 	t.Avoid = w.Life
 	if t.Spec().Lasting {
-		if now.Sub(t.Since) > failsSoon {
+		if now.Sub(t.RunSince) > failsSoon {
 			t.Failures = 0
 		}
 		t.Failures++
--- a/pool/room_test.go
+++ b/pool/room_test.go
@@ -21,7 +21,7 @@
 func (b *bench) says(life string, milliCPU int) {
 	w := b.workers[life]
 	row := w.Worker
-	row.Room.MilliCPU = milliCPU
+	row.Capacity.MilliCPU = milliCPU
 	b.updateWorker(w, row)
 }
 
@@ -43,7 +43,7 @@
 		c.Check(sent.Load(), quicktest.Equals, int64(2))
 		c.Check(b.workers["w1"].room.Free.MilliCPU, quicktest.Equals, 500)
 		b.says("w1", 4000)
-		b.reports("w1", 30, []work.Row{{Task: taskOf(b, 0), Run: runOf(b, 0)}, {Task: taskOf(b, 1), Run: runOf(b, 1)}})
+		b.reports("w1", 30, []work.RunStatus{{Task: taskOf(b, 0), Run: runOf(b, 0)}, {Task: taskOf(b, 1), Run: runOf(b, 1)}})
 		c.Check(b.ordered(), quicktest.Equals, 2)
 	})
 }
@@ -72,9 +72,9 @@
 	b := newBench(c, []*job.Job{one(4), other}, "w1", "w2")
 	done := b.jobs["00000000000000c3"]
 	done.Done(&done.Tasks[0], time.Now())
-	b.reports("w1", 10, []work.Row{{Task: "00000000000000c3.0.0.0", Run: 7}})
+	b.reports("w1", 10, []work.RunStatus{{Task: "00000000000000c3.0.0.0", Run: 7}})
 	c.Check(b.ordered(), quicktest.Equals, 0) // 500 are left
-	b.reports("w1", 20, []work.Row{{Task: "00000000000000ff.0.0.0", Run: 7}})
+	b.reports("w1", 20, []work.RunStatus{{Task: "00000000000000ff.0.0.0", Run: 7}})
 	c.Check(b.ordered(), quicktest.Equals, 0) // nobody knows what it holds
 	b.reports("w1", 30, nil)
 	c.Check(b.ordered(), quicktest.Equals, 4)
@@ -90,7 +90,7 @@
 			var answers atomic.Uint64 // calls are made at the same time
 			b.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
 				n := answers.Add(seed + 1)
-				return work.Answer{Refusal: []work.Refusal{work.Done, work.Done, work.NoRoom, work.Late}[n%4], Clock: 5}, nil
+				return work.Answer{Refusal: []work.Refusal{work.Accepted, work.Accepted, work.NoRoom, work.DeadlinePassed}[n%4], Clock: 5}, nil
 			}
 			n, clock := int64(0), work.Clock(10)
 			b.reports("w1", clock, nil)
@@ -111,22 +111,22 @@
 					}
 				default:
 					clock += 100
-					var rows []work.Row
-					var ends []work.End
+					var rows []work.RunStatus
+					var ends []work.EndedRun
 					for t, x := range w.runs {
 						if r.IntN(3) == 0 {
 							n++
-							ends = append(ends, work.End{N: n, Task: t.Name(), Run: x.number, How: []work.How{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
+							ends = append(ends, work.EndedRun{Seq: n, Task: t.Name(), Run: x.number, Outcome: []work.Outcome{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
 						} else if x.sent {
-							rows = append(rows, work.Row{Task: t.Name(), Run: x.number})
+							rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number})
 						}
 					}
 					if r.IntN(3) == 0 {
-						rows = append(rows, work.Row{Task: taskName, Run: 1})
+						rows = append(rows, work.RunStatus{Task: taskName, Run: 1})
 					}
 					b.reports("w1", clock, rows, ends...)
 				}
-				free := w.Room
+				free := w.Capacity
 				for t := range w.runs {
 					free = free.Minus(place.Charge(t.Spec()))
 				}
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -33,10 +33,10 @@
 	Status time.Duration
 	// Upkeep and Move are how long an instance is away for them.
 	Upkeep, Move time.Duration
-	// Notice is how long a lasting task may be away before it counts as missed.
-	Notice time.Duration
-	// Harm is how long a serving task may be over its target because of what fills beside it.
-	Harm time.Duration
+	// MaxAbsence is how long a lasting task may be away before it counts as missed.
+	MaxAbsence time.Duration
+	// MaxOverTarget is how long a serving task may be over its target because of what fills beside it.
+	MaxOverTarget time.Duration
 }
 
 // Wave is a request to maintain instances.
@@ -45,7 +45,7 @@
 	Machines []string
 	// Within is the time in which all are to have begun, Most how many may be away at once.
 	Within time.Duration
-	Most   int
+	MaxAway   int
 }
 
 // MachineState is where an instance stands, by the machine interface.
@@ -87,7 +87,7 @@
 	ErrTooMany = errors.New("the machine interface takes no more calls now and has done nothing; ask again in a moment")
 	ErrBusy    = errors.New("instance is not up; ask again when it is")
 	ErrFenced  = errors.New("another leader has used a higher fencing token; stop")
-	ErrWave    = errors.New("instance is not of that wave, or unknown")
+	ErrNotInWave    = errors.New("instance is not of that wave, or unknown")
 )
 
 // Ticket lets a worker's life run a step.
@@ -115,10 +115,10 @@
 	// PutWave writes a wave's state for the operator.
 	PutWave func(ctx context.Context, wave int64, done bool) error
 	Events  *event.Ring
-	// BatchMost bounds the bytes of one batch to State; batchMost when 0.
-	BatchMost int
-	// RecordMost bounds the bytes of one record of State, its key included; a longer one is kept aside. No bound when 0.
-	RecordMost int
+	// MaxBatchBytes bounds the bytes of one batch to State; batchMost when 0.
+	MaxBatchBytes int
+	// MaxRecordBytes bounds the bytes of one record of State, its key included; a longer one is kept aside. No bound when 0.
+	MaxRecordBytes int
 	// Processor is the entry's share of a core, by which the asking of workers without work is spaced; it is not when 0.
 	Processor float64
 	// LinkPerSecond is what the entry's link carries, in bytes a second; no bound when 0.
@@ -135,12 +135,12 @@
 	Clock *clock.Clock
 	// Waited returns how long goroutines waited for the processor since it was called last; the runtime's figure when nil.
 	Waited func() time.Duration
-	// SetEarlier publishes whether a leader before this one may still give orders, and whether one may have ordered what
+	// PublishEarlierLeaders publishes whether a leader before this one may still give orders, and whether one may have ordered what
 	// it could not keep.
-	SetEarlier func(open, coarse bool)
-	// SetLoose publishes that this leader may order what it can't keep; LooseKept says whether the next will know.
-	SetLoose  func(loose bool)
-	LooseKept func() bool
+	PublishEarlierLeaders func(open, coarse bool)
+	// AnnounceUnstoredOrders publishes that this leader may order what it can't keep; LooseKept says whether the next will know.
+	AnnounceUnstoredOrders  func(loose bool)
+	UnstoredOrdersAnnounced func() bool
 
 	catalog atomic.Pointer[job.Catalog]
 	// organisations are those of the catalog's version.
@@ -200,7 +200,7 @@
 var ErrNotLeading = errors.New("this entry does not schedule now; ask again in a moment")
 
 // Ask returns what is known of a job, or of a queue.
-func (s *Scheduler) Ask(ctx context.Context, q job.Question) (job.Answer, error) {
+func (s *Scheduler) Ask(ctx context.Context, q job.Query) (job.Answer, error) {
 	s.mu.Lock()
 	c := s.current
 	s.mu.Unlock()
@@ -208,7 +208,7 @@
 		return job.Answer{}, ErrNotLeading
 	}
 	reply := make(chan job.Answer, 1)
-	c.post(question{Question: q, reply: reply})
+	c.post(question{Query: q, reply: reply})
 	select {
 	case a := <-reply:
 		return a, nil
--- a/pool/session.go
+++ b/pool/session.go
@@ -56,8 +56,8 @@
 	// over are the lives that have ended.
 	over map[string]bool
 	// dirty are the jobs with changes that are not kept, livesDirty the lives; oneRecord says that an earlier version's record of all lives is still there.
-	dirty      keep.Rows[*job.Job]
-	livesDirty keep.Rows[struct{}]
+	dirty      keep.DirtyRows[*job.Job]
+	livesDirty keep.DirtyRows[struct{}]
 	oneRecord  bool
 	// writer appends what is to be kept; it belongs to the call that is on its way.
 	writer *keep.Writer
@@ -116,13 +116,13 @@
 	serversEnd int64
 	// keepsOf has a bit for each partition of the intake that keeps something of a job; cancelled are the jobs that
 	// clients want cancelled.
-	keepsOf   map[job.Owned]uint64
-	cancelled map[job.Owned]bool
+	keepsOf   map[job.QualifiedID]uint64
+	cancelled map[job.QualifiedID]bool
 	// taken are the jobs whose IDs other organisations' jobs had; takenDirty says that some are not kept as such, takenGone are those
 	// to be dropped from the store.
-	taken        map[job.Owned]*takenID
+	taken        map[job.QualifiedID]*takenID
 	takenDirty   bool
-	takenGone    []job.Owned
+	takenGone    []job.QualifiedID
 	waveRows     map[int64]*waveRow
 	drains       drains
 	gone         []string  // jobs whose state is to be dropped from the store
@@ -142,7 +142,7 @@
 	strain       strain
 	fleetWalk    walk           // of what looks at all instances: waves and the sizes of pools
 	surplus      map[string]int // how many instances each pool could spare with the last look at its size
-	turns        upkeep.Turns
+	turns        upkeep.Bursts
 	whole        job.Need // the mean room of an instance
 	began        time.Time
 	lessons      map[string]*lesson
@@ -164,9 +164,9 @@
 	c := &session{
 		Scheduler: s, term: t, began: s.now(), inbox: newInbox(), ended: make(chan struct{}), config: s.catalog.Load(),
 		jobs: make(map[string]*job.Job), pools: make(map[string]*poolRow), workers: make(map[string]*worker), lives: make(map[string][]*worker), bearers: make(map[string][]*worker), tokens: make(map[string]*atomic.Int64), over: make(map[string]bool),
-		unkept: make(map[*job.Job]int64), unacked: make(map[*worker]bool), batchMost: cmp.Or(s.BatchMost, batchMost), later: make(map[string]*job.Job), restored: make(map[string]bool), unread: make(map[string]time.Time), readUnsure: make(map[string]bool),
+		unkept: make(map[*job.Job]int64), unacked: make(map[*worker]bool), batchMost: cmp.Or(s.MaxBatchBytes, batchMost), later: make(map[string]*job.Job), restored: make(map[string]bool), unread: make(map[string]time.Time), readUnsure: make(map[string]bool),
 		fresh: make([]time.Time, len(s.Intake)), intakeEnd: make([]int64, len(s.Intake)),
-		keepsOf: make(map[job.Owned]uint64), cancelled: make(map[job.Owned]bool), taken: make(map[job.Owned]*takenID),
+		keepsOf: make(map[job.QualifiedID]uint64), cancelled: make(map[job.QualifiedID]bool), taken: make(map[job.QualifiedID]*takenID),
 		unheard: make(map[string]*worker), steps: make(map[string]bool), workersKept: make(map[string]bool), waveRows: make(map[int64]*waveRow), drains: make(drains), firstHolds: newGate(),
 		machines: make(map[string]Machine), tickets: make(map[string]*stepTickets),
 		moves: make(map[string]*moveStep), sideKeys: make(map[string]bool), trials: make(map[*worker]bool), fenced: make(map[string]bool), fencing: make(map[string]bool), lessons: make(map[string]*lesson), unmovable: make(map[string]time.Time), ownWord: make(map[string]time.Time),
@@ -306,7 +306,7 @@
 		}
 	}
 	for id, j := range c.jobs {
-		if j.State.Ended() && j.KeptVersion >= j.Version && now.Sub(j.Ended) > c.Bounds().Status+forgetAfter {
+		if j.State.Ended() && j.StoredVersion >= j.Version && now.Sub(j.Ended) > c.Bounds().Status+forgetAfter {
 			delete(c.jobs, id)
 			delete(c.restored, id)
 			delete(c.aside, stateKey+id)
@@ -315,7 +315,7 @@
 			}
 			c.gone = append(c.gone, id)
 			c.forgetTickets(j)
-			name := j.Spec.Owner()
+			name := j.Spec.QualifiedID()
 			c.dropRecords(name, c.keepsOf[name])
 			delete(c.keepsOf, name)
 			delete(c.cancelled, name)
--- a/pool/session_test.go
+++ b/pool/session_test.go
@@ -29,9 +29,9 @@
 	s := &Scheduler{
 		Entry: "e", Intake: make([]feed.Topic, 1), Events: &event.Ring{},
 		State: feed.Topic{Append: func(context.Context, feed.Batch) (int64, error) { return 1, nil }},
-		Lost:  func(int64) {}, SetLoose: func(bool) {}, SetEarlier: func(bool, bool) {}, LooseKept: func() bool { return false }, ConfirmedAt: time.Now,
+		Lost:  func(int64) {}, AnnounceUnstoredOrders: func(bool) {}, PublishEarlierLeaders: func(bool, bool) {}, UnstoredOrdersAnnounced: func() bool { return false }, ConfirmedAt: time.Now,
 		ParseWorker: func(life string, _ []byte) (work.Worker, error) {
-			return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+			return work.Worker{Life: life, Machine: "m-" + life, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 		},
 		Machines: Machines{
 			List: func(context.Context) ([]Machine, error) { return nil, ErrBusy },
@@ -54,14 +54,14 @@
 	s.SetBounds(Bounds{Lease: 10 * time.Second, Stop: 400 * time.Millisecond, Status: time.Minute})
 	s.catalog.Store(&job.Catalog{Queues: map[string]job.Queue{"q": {Name: "q", Pool: "p", Attempts: 3, Stretch: 2}}})
 	s.counts = newMetrics(nil)
-	b := &bench{session: newSession(s, lead.Term{Number: 2, Fence: 2 << 16, Clean: true, Alone: true}), c: c}
+	b := &bench{session: newSession(s, lead.Term{Number: 2, Fence: 2 << 16, CleanHandover: true, Exclusive: true}), c: c}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.ctx = ctx
 	c.Cleanup(func() { cancel(); b.work.Wait() })
 	state, intake, list := feed.KeyedPage{}, feed.KeyedPage{}, feed.KeyedPage{}
 	for _, j := range jobs {
-		intake.Records = append(intake.Records, record(c, j.Spec.Owner().HandedInKey(), j.Spec))
-		state.Records = append(state.Records, record(c, stateKey+j.Spec.ID, j.Keep()))
+		intake.Records = append(intake.Records, record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec))
+		state.Records = append(state.Records, record(c, stateKey+j.Spec.ID, j.Stored()))
 	}
 	for i, life := range lives {
 		list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
@@ -83,7 +83,7 @@
 }
 
 // reports gives the session what a worker says.
-func (b *bench) reports(life string, clock work.Clock, running []work.Row, ended ...work.End) {
+func (b *bench) reports(life string, clock work.Clock, running []work.RunStatus, ended ...work.EndedRun) {
 	b.c.Helper()
 	w := b.workers[life]
 	b.c.Assert(w, quicktest.IsNotNil)
@@ -118,7 +118,7 @@
 	j := one(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, "w1" // what was kept is older than the run that ended
 	b := newBench(c, []*job.Job{j}, "w1", "w2")
-	b.reports("w2", 10, nil, work.End{N: 1, Task: taskName, Run: 6, How: work.Succeeded})
+	b.reports("w2", 10, nil, work.EndedRun{Seq: 1, Task: taskName, Run: 6, Outcome: work.Succeeded})
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Finished)
 	b.reports("w1", 10, nil) // the kept run is not there
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Finished)
@@ -128,15 +128,15 @@
 func TestAKeptRunIsSettledByItsWorkersFirstReport(t *testing.T) {
 	for _, test := range [...]struct {
 		name    string
-		running []work.Row
-		ended   []work.End
+		running []work.RunStatus
+		ended   []work.EndedRun
 		phase   job.Phase
 	}{
-		{"it runs", []work.Row{{Task: taskName, Run: 5}}, nil, job.Active},
-		{"it is done", nil, []work.End{{N: 1, Task: taskName, Run: 5, How: work.Succeeded}}, job.Finished},
-		{"it failed", nil, []work.End{{N: 1, Task: taskName, Run: 5, How: work.Failed}}, job.Waiting},
+		{"it runs", []work.RunStatus{{Task: taskName, Run: 5}}, nil, job.Active},
+		{"it is done", nil, []work.EndedRun{{Seq: 1, Task: taskName, Run: 5, Outcome: work.Succeeded}}, job.Finished},
+		{"it failed", nil, []work.EndedRun{{Seq: 1, Task: taskName, Run: 5, Outcome: work.Failed}}, job.Waiting},
 		{"it never began", nil, nil, job.Waiting},
-		{"a later run is there", []work.Row{{Task: taskName, Run: 9}}, nil, job.Active},
+		{"a later run is there", []work.RunStatus{{Task: taskName, Run: 9}}, nil, job.Active},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -157,7 +157,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil)
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		b.workersKept = make(map[string]bool)
 		var earlier []keptWorker
 		for _, life := range []string{"w1", "w2", "w3", "w4"} {
@@ -180,7 +180,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1", "w2", "w3", "w4")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		list := feed.KeyedPage{}
 		for i, life := range []string{"w1", "w2", "w3", "w4"} {
 			list.Records = append(list.Records, feed.KeyedRecord{Offset: int64(i), Key: life, Value: []byte{1}})
@@ -266,7 +266,7 @@
 	b := newBench(c, []*job.Job{one(1)}, "w1")
 	appended := make(chan feed.Batch, 1)
 	b.State.Append = func(_ context.Context, batch feed.Batch) (int64, error) { appended <- batch; return 1, nil }
-	b.reports("w1", 100, nil, work.End{N: 3, Task: taskName, Run: 5, How: work.Succeeded})
+	b.reports("w1", 100, nil, work.EndedRun{Seq: 3, Task: taskName, Run: 5, Outcome: work.Succeeded})
 	b.commit()
 	c.Assert(b.workers["w1"].acked.Load(), quicktest.Equals, int64(0))
 	<-appended
@@ -275,7 +275,7 @@
 		m.apply(b.session)
 	}
 	c.Assert(b.workers["w1"].acked.Load(), quicktest.Equals, int64(3))
-	c.Assert(b.jobs["00000000000000a1"].Shown(), quicktest.Equals, job.Succeeded)
+	c.Assert(b.jobs["00000000000000a1"].VisibleState(), quicktest.Equals, job.Succeeded)
 }
 
 // BenchmarkTick measures what passes with time alone at a size: it must follow what there is to do, not all jobs.
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -23,7 +23,7 @@
 
 // judgeRate notes whether a job that was handed in just now is beyond its organisation's rate, by the time at which it was taken.
 func (c *session) judgeRate(j *job.Job) {
-	j.Beyond = c.rate.Beyond(c.ledger.Of(j.Spec.Organisation), j.Spec.Taken.Time())
+	j.OverRate = c.rate.Exceeded(c.ledger.Organisation(j.Spec.Organisation), j.Spec.Taken.Time())
 }
 
 // restoreRates judges all jobs that were read at once, in the order in which they were taken.
@@ -44,7 +44,7 @@
 
 // draft returns the ledger to decide on.
 func (c *session) draft() *org.Draft {
-	if !c.ledger.Bounded() {
+	if !c.ledger.HasCaps() {
 		return c.ledger.Draft(nil)
 	}
 	unread, unkept := c.uncounted()
@@ -52,7 +52,7 @@
 		return c.ledger.Draft(func(string) job.Need { return unread })
 	}
 	may := c.mayHaveStarted()
-	return c.ledger.Draft(func(name string) job.Need { return unread.Plus(unkept.Least(may[name])) })
+	return c.ledger.Draft(func(name string) job.Need { return unread.Plus(unkept.Min(may[name])) })
 }
 
 // mayHaveStarted returns, by organisation, what waits of the jobs that an earlier leader knew: no more can run without having been kept.
@@ -77,10 +77,10 @@
 // tellCapped writes which steps begin to wait for their organisation's cap, and which no longer do: a line for each change.
 func (c *session) tellCapped(groups []*place.Group) {
 	for _, g := range groups {
-		if g.Capped == g.ToldCapped || len(g.Tasks) == 0 {
+		if g.Capped == g.CappedLogged || len(g.Tasks) == 0 {
 			continue
 		}
-		g.ToldCapped = g.Capped
+		g.CappedLogged = g.Capped
 		why := "room"
 		if g.Capped {
 			why = "cap"
@@ -89,7 +89,7 @@
 		name := g.Job.Spec.Organisation
 		held, runs := c.ledger.Held(name)
 		limit := job.Need{}
-		if o := c.ledger.Of(name); o != nil {
+		if o := c.ledger.Organisation(name); o != nil {
 			limit = o.Cap
 		}
 		c.emit(event.JobWaits, event.Subject{Job: g.Job.Spec.ID}, "why=%s organisation=%q step=%d tasks=%d running=%d held=%dm/%dMB cap=%dm/%dMB", why, name, g.Step, len(g.Tasks), runs, held.MilliCPU, held.MemoryMB, limit.MilliCPU, limit.MemoryMB)
@@ -103,7 +103,7 @@
 		return sum
 	}
 	for _, w := range c.workers {
-		sum = sum.Plus(w.Room)
+		sum = sum.Plus(w.Capacity)
 	}
 	return sum
 }
@@ -114,15 +114,15 @@
 	var largest job.Need
 	unlisted, mayBe := 0, c.mayBeUnkept()
 	for _, w := range c.workers {
-		largest = largest.Most(w.Room)
+		largest = largest.Max(w.Capacity)
 		switch {
 		case w.unread > 0 || w.unknown > 0:
-			unread = unread.Plus(w.room.Free.Most(job.Need{}))
+			unread = unread.Plus(w.room.Free.Max(job.Need{}))
 		case !mayBe || c.unheard[w.Life] == nil:
-		case w.Room == (job.Need{}):
+		case w.Capacity == (job.Need{}):
 			unlisted++
 		default:
-			unkept = unkept.Plus(w.room.Free.Most(job.Need{}))
+			unkept = unkept.Plus(w.room.Free.Max(job.Need{}))
 		}
 	}
 	// A life that is kept and has left the list has a room that this leader does not know: as large as the largest.
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -31,7 +31,7 @@
 // handIn reads a job of an organisation from the intake.
 func (b *bench) handIn(organisation, id string, s job.Step) *job.Job {
 	b.c.Helper()
-	j := b.readIntake(0, record(b.c, job.OwnedBy(organisation, id).HandedInKey(), &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{s}, Taken: job.UnixMilli(time.Now().UnixMilli())}), time.Now())
+	j := b.readIntake(0, record(b.c, job.Qualify(organisation, id).SubmissionKey(), &job.Spec{ID: id, Queue: "q", Pool: "p", Steps: []job.Step{s}, Taken: job.UnixMilli(time.Now().UnixMilli())}), time.Now())
 	b.c.Assert(j, quicktest.IsNotNil)
 	b.judgeRate(j)
 	b.openJob(j, time.Now())
@@ -94,7 +94,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1", "w2")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.coarse = true
 		b.unheard["w1"] = b.workers["w1"]
 		b.raised = time.Now()
@@ -114,7 +114,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1", "w2", "w3", "w4")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.coarse, b.raised = true, time.Now()
 		for _, life := range []string{"w1", "w2", "w3"} {
 			b.unheard[life] = b.workers[life]
@@ -134,7 +134,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w1", "w2", "w3")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Renewed: time.Now()}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorRenewed: time.Now()}
 		for _, life := range []string{"w1", "w2"} {
 			b.unheard[life] = b.workers[life]
 		}
@@ -155,7 +155,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		b := newBench(c, nil, "w2")
-		b.term = lead.Term{Number: 2, Fence: 2 << 16, Coarse: true}
+		b.term = lead.Term{Number: 2, Fence: 2 << 16, PredecessorsUnstored: true}
 		b.take(feed.KeyedPage{Records: []feed.KeyedRecord{record(c, workersKey, []keptWorker{{Life: "w1", Machine: "m-w1", Pool: "p"}})}}, []feed.KeyedPage{{}}, feed.KeyedPage{})
 		b.raised = time.Now()
 		b.capped(6000)
@@ -213,18 +213,18 @@
 				default:
 					clock += 100
 					for life, w := range b.workers {
-						var rows []work.Row
-						var ends []work.End
+						var rows []work.RunStatus
+						var ends []work.EndedRun
 						for t, x := range w.runs {
 							switch {
 							case r.IntN(3) == 0:
 								newest[life]++
-								ends = append(ends, work.End{N: newest[life], Task: t.Name(), Run: x.number, How: []work.How{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
+								ends = append(ends, work.EndedRun{Seq: newest[life], Task: t.Name(), Run: x.number, Outcome: []work.Outcome{work.Stopped, work.Failed, work.Succeeded}[r.IntN(3)]})
 							case x.sent:
-								rows = append(rows, work.Row{Task: t.Name(), Run: x.number})
+								rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number})
 							}
 							if r.IntN(9) == 0 {
-								rows = append(rows, work.Row{Task: t.Name(), Run: x.number + 1000})
+								rows = append(rows, work.RunStatus{Task: t.Name(), Run: x.number + 1000})
 							}
 						}
 						b.reports(life, clock, rows, ends...)
@@ -284,7 +284,7 @@
 		b.countLoads()
 		before := b.pool("p").load.waitingWork
 		b.handIn("a", idOf(2), core(20))
-		b.handIn("b", idOf(3), core(20)).Beyond = true
+		b.handIn("b", idOf(3), core(20)).OverRate = true
 		b.openJob(b.jobs[idOf(3)], time.Now())
 		b.ordered()
 		b.countLoads()
@@ -326,7 +326,7 @@
 	scope := tally.NewTestScope("", nil)
 	b.counts = newMetrics(scope)
 	for i := range organisationsMost + 10 {
-		b.ledger.Take(fmt.Sprintf("o%03d", i), job.Need{MilliCPU: 100})
+		b.ledger.Acquire(fmt.Sprintf("o%03d", i), job.Need{MilliCPU: 100})
 	}
 	b.tellOrganisations(time.Now())
 	gauges := scope.Snapshot().Gauges()
@@ -338,7 +338,7 @@
 	}
 	c.Assert(named, quicktest.Equals, organisationsMost+1)
 	c.Assert(gauges["organisation_millicores+organisation="+otherOrganisations].Value(), quicktest.Equals, 1000.0)
-	b.ledger.Return("o000", job.Need{MilliCPU: 100})
+	b.ledger.Release("o000", job.Need{MilliCPU: 100})
 	b.tellOrganisations(time.Now().Add(organisationsEvery))
 	c.Assert(scope.Snapshot().Gauges()["organisation_millicores+organisation=o000"].Value(), quicktest.Equals, 0.0)
 }
--- a/pool/size.go
+++ b/pool/size.go
@@ -114,15 +114,15 @@
 			continue
 		}
 		p.told, p.toldAt = *row, now
-		need, used, known := c.turns.Whole(name, now)
+		need, used, known := c.turns.FullDemand(name, now)
 		c.emit(event.PoolSized, event.Subject{Entry: c.Entry}, "pool=%s have=%d want=%.0f keep=%.0f idle=%.0f soon=%.0f lasting=%.0f running=%.0f waiting=%.0f turn=%.0f used=%.0f known=%t",
-			name, row.Have, row.Want, row.Keep, row.Idle, row.Soon, p.load.lasting, p.load.running, p.load.waitingRoom, need, used, known)
+			name, row.Have, row.Want, row.Min, row.LongTermNeed, row.SoonNeed, p.load.lasting, p.load.running, p.load.waitingRoom, need, used, known)
 	}
 }
 
 // changedMuch says whether a pool's size has changed by an eighth and by two instances.
 func changedMuch(before, now upkeep.Pool) bool {
-	for _, x := range [...][2]float64{{before.Want, now.Want}, {before.Idle, now.Idle}, {before.Soon, now.Soon}, {float64(before.Have), float64(now.Have)}} {
+	for _, x := range [...][2]float64{{before.Want, now.Want}, {before.LongTermNeed, now.LongTermNeed}, {before.SoonNeed, now.SoonNeed}, {float64(before.Have), float64(now.Have)}} {
 		if d := math.Abs(x[0] - x[1]); d >= 2 && d > max(x[0], x[1])/8 {
 			return true
 		}
@@ -289,7 +289,7 @@
 			c.lose(w, "its instance was moved")
 		}
 		c.counts.moves.Inc(1)
-		c.emit(event.MachineMoved, event.Subject{Instance: m.machine}, "from=%s to=%s", from, s.to)
+		c.emit(event.InstanceMoved, event.Subject{Instance: m.machine}, "from=%s to=%s", from, s.to)
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
 	case errors.Is(m.err, ErrTooMany):
@@ -297,7 +297,7 @@
 		if s.notBefore.IsZero() {
 			c.stay(m.machine, s) // decided anew when the interface takes calls again
 		}
-	case errors.Is(m.err, ErrBusy), errors.Is(m.err, ErrWave):
+	case errors.Is(m.err, ErrBusy), errors.Is(m.err, ErrNotInWave):
 		c.emit(event.UpkeepRefused, event.Subject{Instance: m.machine}, "move to=%s err=%q", s.to, m.err)
 		c.endMove(m.machine, s)
 	default: // it may have been done: the same call again does no harm
--- a/pool/size_test.go
+++ b/pool/size_test.go
@@ -25,7 +25,7 @@
 				b.config.Pools = map[string]job.Pool{"p": {}, "spare": {Headroom: true}}
 				b.machines["m-w1"] = Machine{Name: "m-w1", Pool: "p", ID: "w1"}
 				var moved, maintained atomic.Int64 // calls are made at the same time
-				wave := Wave{Number: 1, Most: 1, Within: time.Minute}
+				wave := Wave{Number: 1, MaxAway: 1, Within: time.Minute}
 				for i := range 4 {
 					m := fmt.Sprintf("off%d", i)
 					b.machines[m] = Machine{Name: m, Pool: "spare"}
--- a/pool/succession.go
+++ b/pool/succession.go
@@ -41,7 +41,7 @@
 
 // raise raises the token of a row's ID, and has the row's life count as heard when it has answered under it.
 func (c *session) raise(w *worker) {
-	token, ok := c.term.Raised(w.token.Load())
+	token, ok := c.term.NextToken(w.token.Load())
 	if !ok {
 		c.Lost(c.term.Fence) // the next leader begins with a higher one
 		return
--- a/pool/succession_test.go
+++ b/pool/succession_test.go
@@ -23,7 +23,7 @@
 		if value[0] == 255 {
 			return work.Worker{}, errors.New("not to be read")
 		}
-		return work.Worker{Birth: work.Birth(value[0]), Machine: "m-" + id, Pool: "p", Room: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
+		return work.Worker{Birth: work.Birth(value[0]), Machine: "m-" + id, Pool: "p", Capacity: job.Need{MilliCPU: 4000, MemoryMB: 4000}}, nil
 	}
 	return b
 }
@@ -39,7 +39,7 @@
 	c := quicktest.New(t)
 	b := bornBench(c, one(3))
 	b.lists("w", 9)
-	b.reports("w@9", 60_000, []work.Row{{Task: taskName, Run: 5}, {Task: "00000000000000a1.0.0.1", Run: 6}}, work.End{N: 40, Task: "00000000000000a1.0.0.2", Run: 4, How: work.Failed})
+	b.reports("w@9", 60_000, []work.RunStatus{{Task: taskName, Run: 5}, {Task: "00000000000000a1.0.0.1", Run: 6}}, work.EndedRun{Seq: 40, Task: "00000000000000a1.0.0.2", Run: 4, Outcome: work.Failed})
 	b.workers["w@9"].ack(40)
 	b.stranger("w@9", 4) // born before, by its clock
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
@@ -55,7 +55,7 @@
 	b.lists("w", 9) // an entry that was held up
 	c.Assert(b.workers, quicktest.HasLen, 1)
 	b.lists("w", 4)
-	b.reports("w@4", 3, []work.Row{{Task: taskName, Run: 7}}, work.End{N: 1, Task: "00000000000000a1.0.0.2", Run: 8, How: work.Succeeded})
+	b.reports("w@4", 3, []work.RunStatus{{Task: taskName, Run: 7}}, work.EndedRun{Seq: 1, Task: "00000000000000a1.0.0.2", Run: 8, Outcome: work.Succeeded})
 	c.Assert(b.task(2).Phase, quicktest.Equals, job.Finished, quicktest.Commentf("the first end of this life"))
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@4")
 	c.Assert(next.usable(time.Now()), quicktest.IsTrue)
@@ -66,7 +66,7 @@
 	c := quicktest.New(t)
 	b := bornBench(c, one(1))
 	b.lists("w", 9)
-	b.reports("w@9", 50, []work.Row{{Task: taskName, Run: 5}})
+	b.reports("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
 	b.lists("w", 4)
 	c.Assert(b.task(0).Worker, quicktest.Equals, "w@9")
 	b.lists("w", 9)
@@ -82,7 +82,7 @@
 	c := quicktest.New(t)
 	b := bornBench(c, one(1))
 	b.lists("w", 9)
-	b.reports("w@9", 50, []work.Row{{Task: taskName, Run: 5}})
+	b.reports("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
 	b.lists("w", 4)
 	b.reports("w@4", 3, nil)
 	c.Assert(b.workers["w@9"], quicktest.IsNil)
@@ -113,14 +113,14 @@
 func TestAnOrderWithoutAnAnswerIsLookedForAtTheNextLife(t *testing.T) {
 	for _, x := range [...]struct {
 		name    string
-		running []work.Row
-		ended   []work.End
+		running []work.RunStatus
+		ended   []work.EndedRun
 		phase   job.Phase
 		lost    int
 	}{
 		{"it is not there", nil, nil, job.Waiting, 1},
-		{"it is there", []work.Row{{Task: taskName, Run: 100}}, nil, job.Active, 0},
-		{"it is done there", nil, []work.End{{N: 1, Task: taskName, Run: 100, How: work.Succeeded}}, job.Finished, 1},
+		{"it is there", []work.RunStatus{{Task: taskName, Run: 100}}, nil, job.Active, 0},
+		{"it is done there", nil, []work.EndedRun{{Seq: 1, Task: taskName, Run: 100, Outcome: work.Succeeded}}, job.Finished, 1},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
@@ -157,11 +157,11 @@
 			j := one(1)
 			j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, x.kept
 			b := bornBench(c, j)
-			state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Keep())}}
+			state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored())}}
 			if x.known {
 				state.Records = append(state.Records, record(c, workersKey, []keptWorker{{Life: x.kept, Machine: "m-w", Pool: "p", Address: "a"}}))
 			}
-			intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
+			intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 			b.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 			c.Assert(b.workers, quicktest.HasLen, 1)
 			c.Assert(b.task(0).Worker, quicktest.Equals, "w@9")
@@ -179,13 +179,13 @@
 	c := quicktest.New(t)
 	j := one(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Starting, 5, "w@9"
-	j.Lose(&j.Tasks[0], job.LostRun{Run: 5, Life: "w@4", Suspects: 2})
+	j.RecordLost(&j.Tasks[0], job.LostRun{Run: 5, Life: "w@4", Suspects: 2})
 	b := bornBench(c, j)
 	state := feed.KeyedPage{Records: []feed.KeyedRecord{
-		record(c, stateKey+j.Spec.ID, j.Keep()), record(c, lostKey+j.Spec.ID, j.KeepLost()),
+		record(c, stateKey+j.Spec.ID, j.Stored()), record(c, lostKey+j.Spec.ID, j.StoredLost()),
 		record(c, workersKey, []keptWorker{{Life: "w@9", Machine: "m-w", Pool: "p", Address: "a"}}),
 	}}
-	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
+	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 	b.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{Records: []feed.KeyedRecord{{Key: "w", Value: []byte{9}}}})
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 1)
 	b.stranger("w@9", 2)
@@ -199,12 +199,12 @@
 	j := one(1)
 	j.Tasks[0].Phase, j.Tasks[0].Run, j.Tasks[0].Worker = job.Active, 5, "w"
 	b := bornBench(c, j)
-	state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Keep()), record(c, workersKey, []keptWorker{{Life: "w", Machine: "m-w", Pool: "p", Address: "a"}})}}
-	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.Owner().HandedInKey(), j.Spec)}}
+	state := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, stateKey+j.Spec.ID, j.Stored()), record(c, workersKey, []keptWorker{{Life: "w", Machine: "m-w", Pool: "p", Address: "a"}})}}
+	intake := feed.KeyedPage{Records: []feed.KeyedRecord{record(c, j.Spec.QualifiedID().SubmissionKey(), j.Spec)}}
 	b.take(state, []feed.KeyedPage{intake}, feed.KeyedPage{})
 	b.stranger("w", 9)
 	c.Assert(b.task(0).Lost, quicktest.HasLen, 0)
-	b.reports("w@9", 3, []work.Row{{Task: taskName, Run: 5}})
+	b.reports("w@9", 3, []work.RunStatus{{Task: taskName, Run: 5}})
 	c.Assert(b.task(0).Phase, quicktest.Equals, job.Active)
 }
 
@@ -227,7 +227,7 @@
 		c := quicktest.New(t)
 		b := bornBench(c, one(1))
 		b.lists("w", 9)
-		b.reports("w@9", 50, []work.Row{{Task: taskName, Run: 5}})
+		b.reports("w@9", 50, []work.RunStatus{{Task: taskName, Run: 5}})
 		var confirmed atomic.Pointer[time.Time] // the next life's holds look at it as well
 		confirm := func() { now := time.Now(); confirmed.Store(&now) }
 		confirm()
--- a/pool/tables.go
+++ b/pool/tables.go
@@ -22,7 +22,7 @@
 	work.Worker
 	clock *clock.Clock
 	// room is what the worker has free by this table.
-	room place.Room
+	room place.Candidate
 	// runs are the tasks whose latest run is or may be here.
 	runs map[*job.Task]*run
 	// ledger counts what organisations have running; what is added to and dropped from this row is counted there.
@@ -146,7 +146,7 @@
 
 func newWorker(w work.Worker, clock *clock.Clock, ledger *org.Ledger) *worker {
 	row := &worker{Worker: w, clock: clock, ledger: ledger, since: clock.Sure(), strays: make(map[int64]time.Time), runs: make(map[*job.Task]*run), listed: true, signal: make(chan struct{}, 1), wake: make(chan struct{}, 1)}
-	row.room = place.Room{Worker: &row.Worker, Free: w.Room}
+	row.room = place.Candidate{Worker: &row.Worker, Free: w.Capacity}
 	row.coldUntil = row.since.Add(w.Cold)
 	return row
 }
@@ -163,14 +163,14 @@
 func (w *worker) read(c work.Clock) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lease.Read(c, w.clock.Sure()) // one that is too early would have the next deadline too late
+	w.lease.Observe(c, w.clock.Sure()) // one that is too early would have the next deadline too late
 }
 
 // bound takes note that an earlier leader may have leased something there until the time.
 func (w *worker) bound(until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lease.Bound(until)
+	w.lease.ExtendTo(until)
 }
 
 func (w *worker) leasedUntil() time.Time {
@@ -251,11 +251,11 @@
 func (w *worker) setBesides(now []beside) {
 	for _, b := range w.besides {
 		w.room.Free = w.room.Free.Plus(place.Charge(b.step))
-		w.ledger.Return(b.organisation, b.step.Need)
+		w.ledger.Release(b.organisation, b.step.Need)
 	}
 	for _, b := range now {
 		w.room.Free = w.room.Free.Minus(place.Charge(b.step))
-		w.ledger.Take(b.organisation, b.step.Need)
+		w.ledger.Acquire(b.organisation, b.step.Need)
 	}
 	w.besides = now
 }
@@ -264,9 +264,9 @@
 	s := t.Spec()
 	n := place.Charge(s)
 	if sign < 0 {
-		w.ledger.Take(t.Job.Spec.Organisation, s.Need)
+		w.ledger.Acquire(t.Job.Spec.Organisation, s.Need)
 	} else {
-		w.ledger.Return(t.Job.Spec.Organisation, s.Need)
+		w.ledger.Release(t.Job.Spec.Organisation, s.Need)
 	}
 	w.room.Free.MilliCPU += sign * n.MilliCPU
 	w.room.Free.MemoryMB += sign * n.MemoryMB
--- a/pool/takeover_test.go
+++ b/pool/takeover_test.go
@@ -41,8 +41,8 @@
 
 // wire puts scheduler and elector together as an entry does.
 func wire(s *pool.Scheduler, e *lead.Elector) {
-	s.ConfirmedAt, s.Lost = e.ConfirmedAt, e.Lost
-	s.SetLoose, s.LooseKept, s.SetEarlier = e.SetLoose, e.LooseKept, e.SetEarlier
+	s.ConfirmedAt, s.Lost = e.ConfirmedAt, e.StepDown
+	s.AnnounceUnstoredOrders, s.UnstoredOrdersAnnounced, s.PublishEarlierLeaders = e.SetUnstored, e.UnstoredPublished, e.SetPredecessors
 }
 
 // history is a world with its entries and what clients have handed in.
@@ -135,7 +135,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked[s.ID] = s
-	h.topic("intake").add(feed.KeyedRecord{Key: s.Owner().HandedInKey(), Value: value})
+	h.topic("intake").add(feed.KeyedRecord{Key: s.QualifiedID().SubmissionKey(), Value: value})
 }
 
 func (h *history) cancelJob(id string) {
@@ -143,7 +143,7 @@
 	defer h.mu.Unlock()
 	if h.cancels[id].IsZero() {
 		h.cancels[id] = time.Now()
-		h.topic("intake").add(feed.KeyedRecord{Key: job.OwnedBy(h.asked[id].Organisation, id).CancelKey(), Value: []byte{1}})
+		h.topic("intake").add(feed.KeyedRecord{Key: job.Qualify(h.asked[id].Organisation, id).CancelKey(), Value: []byte{1}})
 	}
 }
 
@@ -374,11 +374,11 @@
 	h.wave++
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	w := pool.Wave{Number: h.wave, Within: 30 * time.Second, Most: 1 + count%2}
+	w := pool.Wave{Number: h.wave, Within: 30 * time.Second, MaxAway: 1 + count%2}
 	for i := range count {
 		w.Machines = append(w.Machines, fmt.Sprintf("m%02d", (int(h.wave)*5+i)%(historyZones*historyWorkers)))
 	}
-	h.waves[h.wave] = w.Most
+	h.waves[h.wave] = w.MaxAway
 	h.waveRequests = append(h.waveRequests, w)
 	for _, e := range h.entries {
 		e.scheduler.SetWave(w)
--- a/pool/turn_bench_test.go
+++ b/pool/turn_bench_test.go
@@ -22,7 +22,7 @@
 	*bench
 	jobs   int
 	clock  work.Clock
-	ended  map[*worker][]work.End
+	ended  map[*worker][]work.EndedRun
 	newest map[*worker]int64
 	// organisations is how many hand the jobs in, by turns; nobody in particular does when 0.
 	organisations int
@@ -34,12 +34,12 @@
 	for i := range workers {
 		lives = append(lives, fmt.Sprint("w", i))
 	}
-	t := &turn{bench: newBench(c, nil, lives...), clock: 10, ended: make(map[*worker][]work.End), newest: make(map[*worker]int64)}
+	t := &turn{bench: newBench(c, nil, lives...), clock: 10, ended: make(map[*worker][]work.EndedRun), newest: make(map[*worker]int64)}
 	t.ParseWorker = nil
 	for _, w := range t.workers {
 		w.Pool = "p"
-		w.Room = job.Need{MilliCPU: 16000, MemoryMB: 64000}
-		w.room.Free = w.Room
+		w.Capacity = job.Need{MilliCPU: 16000, MemoryMB: 64000}
+		w.room.Free = w.Capacity
 	}
 	t.State.Append = func(context.Context, feed.Batch) (int64, error) { return 1, nil }
 	t.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
@@ -62,7 +62,7 @@
 	if t.organisations > 0 {
 		name = fmt.Sprint("o", t.jobs%t.organisations)
 	}
-	j := t.readIntake(0, record(t.c, job.OwnedBy(name, s.ID).HandedInKey(), s), time.Now())
+	j := t.readIntake(0, record(t.c, job.Qualify(name, s.ID).SubmissionKey(), s), time.Now())
 	t.judgeRate(j)
 	t.learnJob(j)
 	t.openJob(j, time.Now())
@@ -80,7 +80,7 @@
 	for _, m := range t.inbox.take() {
 		if s, ok := m.(startEnded); ok {
 			t.newest[s.worker]++
-			t.ended[s.worker] = append(t.ended[s.worker], work.End{N: t.newest[s.worker], Task: s.task.Name(), Run: s.run, How: work.Succeeded})
+			t.ended[s.worker] = append(t.ended[s.worker], work.EndedRun{Seq: t.newest[s.worker], Task: s.task.Name(), Run: s.run, Outcome: work.Succeeded})
 		}
 		m.apply(t.session)
 	}
@@ -185,7 +185,7 @@
 		Pools:  map[string]job.Pool{"p": {}, "o": {}, "spare": {Headroom: true}},
 	}
 	t.PutWave = func(context.Context, int64, bool) error { return nil }
-	wave := Wave{Number: 1, Most: 1, Within: time.Hour}
+	wave := Wave{Number: 1, MaxAway: 1, Within: time.Hour}
 	for life, w := range t.workers {
 		t.machines[w.Machine] = Machine{Name: w.Machine, Pool: w.Pool, ID: life, Labels: []string{"kind", "rack"}}
 		if len(wave.Machines) < workers/2 {
--- a/pool/upkeep.go
+++ b/pool/upkeep.go
@@ -97,7 +97,7 @@
 	row := c.wave(m.wave.Number)
 	if row.since.IsZero() {
 		row.since = c.now()
-		c.emit(event.WaveChanged, event.Subject{}, "wave=%d machines=%d most=%d within=%v", m.wave.Number, len(m.wave.Machines), m.wave.Most, m.wave.Within)
+		c.emit(event.WaveChanged, event.Subject{}, "wave=%d machines=%d most=%d within=%v", m.wave.Number, len(m.wave.Machines), m.wave.MaxAway, m.wave.Within)
 	}
 	row.Wave = m.wave
 }
@@ -211,7 +211,7 @@
 			continue
 		}
 		counted := s.doubt || row.asked[m]
-		if counted || away < max(row.Most, 1) {
+		if counted || away < max(row.MaxAway, 1) {
 			if !counted {
 				away++
 			}
@@ -226,14 +226,14 @@
 func (c *session) markDue(row *waveRow) {
 	for _, m := range row.Machines {
 		if w := c.workerOf(m); w != nil {
-			w.room.Due = !row.begun[m]
+			w.room.UpkeepDue = !row.begun[m]
 		}
 	}
 }
 
 // nextOfWave returns the instances of the wave to be emptied now.
 func (c *session) nextOfWave(row *waveRow, now time.Time) []upkeep.Candidate {
-	w := upkeep.Wave{Most: row.Most, Out: len(row.steps), Left: len(row.steps), Within: row.Within, Since: row.known(now), Each: c.Bounds().Upkeep}
+	w := upkeep.Wave{MaxAway: row.MaxAway, Out: len(row.steps), Remaining: len(row.steps), Within: row.Within, Elapsed: row.known(now), Each: c.Bounds().Upkeep}
 	var waiting []upkeep.Candidate
 	for _, m := range row.Machines {
 		if s := row.steps[m]; s != nil {
@@ -245,7 +245,7 @@
 		if row.begun[m] {
 			continue
 		}
-		w.Left++
+		w.Remaining++
 		if c.moves[m] != nil {
 			continue
 		}
@@ -431,7 +431,7 @@
 		m.row.unask(m.machine) // it has not begun, and no call with a lower token can begin it any more
 	case errors.Is(m.err, ErrFenced):
 		c.Lost(c.term.Fence)
-	case errors.Is(m.err, ErrWave):
+	case errors.Is(m.err, ErrNotInWave):
 		m.row.begin(m.machine) // it is gone, or was never part of it
 		delete(m.row.steps, m.machine)
 	default:
--- a/pool/upkeep_test.go
+++ b/pool/upkeep_test.go
@@ -32,7 +32,7 @@
 					return answer
 				}
 				b.PutWave = func(context.Context, int64, bool) error { return nil }
-				wave := Wave{Number: 1, Most: 2, Within: time.Minute}
+				wave := Wave{Number: 1, MaxAway: 2, Within: time.Minute}
 				for i := range 8 {
 					m := fmt.Sprintf("m%d", i)
 					wave.Machines = append(wave.Machines, m)
@@ -67,7 +67,7 @@
 		b.PutWave = func(context.Context, int64, bool) error { return nil }
 		b.machines["m0"] = Machine{Name: "m0", Pool: "p"}
 		b.machinesRead = time.Now()
-		waveRead{wave: Wave{Number: 1, Machines: []string{"m0"}, Most: 1, Within: time.Minute}}.apply(b.session)
+		waveRead{wave: Wave{Number: 1, Machines: []string{"m0"}, MaxAway: 1, Within: time.Minute}}.apply(b.session)
 		b.runWaves(time.Now())
 		synctest.Wait()
 		c.Assert(asked, quicktest.Equals, 0)
@@ -111,8 +111,8 @@
 		b.machinesRead = time.Now()
 		b.wave(2).begin("m1")
 		b.wave(4).begin("m0")
-		waveRead{wave: Wave{Number: 2, Machines: []string{"m0", "m1"}, Most: 1, Within: time.Minute}}.apply(b.session)
-		waveRead{wave: Wave{Number: 4, Machines: []string{"m0"}, Most: 1, Within: time.Minute}}.apply(b.session)
+		waveRead{wave: Wave{Number: 2, Machines: []string{"m0", "m1"}, MaxAway: 1, Within: time.Minute}}.apply(b.session)
+		waveRead{wave: Wave{Number: 4, Machines: []string{"m0"}, MaxAway: 1, Within: time.Minute}}.apply(b.session)
 		for range 5 {
 			b.runWaves(time.Now())
 			b.keeps()
--- a/pool/workers.go
+++ b/pool/workers.go
@@ -137,7 +137,7 @@
 		}
 		w = newWorker(row, c.Clock, &c.ledger)
 		c.addWorker(w)
-		c.emit(event.WorkerSeen, event.Subject{Instance: row.Life}, "machine=%s pool=%s room=%d leaving=%t", row.Machine, row.Pool, row.Room.MilliCPU, row.Leaving)
+		c.emit(event.WorkerSeen, event.Subject{Instance: row.Life}, "machine=%s pool=%s room=%d leaving=%t", row.Machine, row.Pool, row.Capacity.MilliCPU, row.Leaving)
 		return w
 	}
 	if w.Leaving != row.Leaving || !w.listed {
@@ -149,10 +149,10 @@
 
 // updateWorker takes over what a known life says anew.
 func (c *session) updateWorker(w *worker, row work.Worker) {
-	if row.Room != w.Room {
-		c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Room.MilliCPU, w.Room.MilliCPU)
+	if row.Capacity != w.Capacity {
+		c.emit(event.WorkerSeen, event.Subject{Instance: w.Life}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Capacity.MilliCPU, w.Capacity.MilliCPU)
 	}
-	w.room.Free = w.room.Free.Plus(row.Room.Minus(w.Room)) // less than nothing where it has shrunk below what runs there
+	w.room.Free = w.room.Free.Plus(row.Capacity.Minus(w.Capacity)) // less than nothing where it has shrunk below what runs there
 	left := row.Leaving && !w.Leaving
 	if row.Machine != w.Machine {
 		heard := w.heard
@@ -267,7 +267,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, work.ErrCrowded) {
+		if errors.Is(err, work.ErrTooManyConnections) {
 			sleep(ctx, crowdedPause) // it was not asked, so it is not silent
 			continue
 		}
@@ -276,7 +276,7 @@
 		}
 		c.post(holdEnded{worker: w, token: o.Fence, asked: now, wait: o.Wait, report: rep, err: err, failedAt: c.now()})
 		silent = err != nil
-		if err != nil || rep.Refusal != work.Done {
+		if err != nil || rep.Refusal != work.Accepted {
 			sleep(ctx, c.retryPause(w, row.Birth, pause, heard))
 			pause = min(2*pause, retryMost)
 			continue
@@ -292,10 +292,10 @@
 }
 
 // awaitAck waits until the ends are kept, so that the next hold may acknowledge them, but not for long.
-func (w *worker) awaitAck(ctx context.Context, ends []work.End) {
+func (w *worker) awaitAck(ctx context.Context, ends []work.EndedRun) {
 	newest := int64(0)
 	for _, e := range ends {
-		newest = max(newest, e.N)
+		newest = max(newest, e.Seq)
 	}
 	wait := ackWait
 	if w.ackDelayed.Load() {
--- a/pool/world_test.go
+++ b/pool/world_test.go
@@ -267,7 +267,7 @@
 	}
 	return work.Worker{
 		Life: name, ID: name, Birth: work.Birth(born), Machine: x["machine"], Pool: x["pool"], DataCentre: x["zone"], Address: name,
-		Room: job.Need{MilliCPU: room, MemoryMB: room},
+		Capacity: job.Need{MilliCPU: room, MemoryMB: room},
 	}, nil
 }
 
@@ -400,7 +400,7 @@
 		ParseWorker: parseWorker, Calls: w.calls(name), Machines: w.control(name), Events: w.events, Clock: machine,
 		PutWave: func(ctx context.Context, wave int64, done bool) error { return nil },
 	}
-	s.SetBounds(pool.Bounds{Lease: modelLease, Stop: modelStop, Status: 10 * time.Minute, Upkeep: modelAway, Move: modelAway, Notice: modelNotice, Harm: 4 * time.Second})
+	s.SetBounds(pool.Bounds{Lease: modelLease, Stop: modelStop, Status: 10 * time.Minute, Upkeep: modelAway, Move: modelAway, MaxAbsence: modelNotice, MaxOverTarget: 4 * time.Second})
 	s.SetCatalog(&job.Catalog{
 		Version: 1,
 		Queues:  map[string]job.Queue{"q0": {Name: "q0", Pool: "p0", Attempts: modelFails, Stretch: 2, Target: time.Second}, "q1": {Name: "q1", Pool: "p1", Attempts: modelFails, Stretch: 2, Target: time.Second}},
--- a/pool/worldmachines_test.go
+++ b/pool/worldmachines_test.go
@@ -28,7 +28,7 @@
 			m := w.machines[name]
 			switch {
 			case m == nil:
-				answers <- pool.ErrWave
+				answers <- pool.ErrNotInWave
 			case fence < m.fence:
 				answers <- pool.ErrFenced
 			default:
--- a/pool/worldstore_test.go
+++ b/pool/worldstore_test.go
@@ -56,7 +56,7 @@
 			return 0, &feed.SequenceError{Want: t.next[b.Name]}
 		}
 	}
-	if b.At >= 0 && b.At != int64(len(t.records)) {
+	if b.ExpectedEnd >= 0 && b.ExpectedEnd != int64(len(t.records)) {
 		return 0, &feed.ConditionError{End: int64(len(t.records))}
 	}
 	t.add(b.Records...)
--- a/pool/worldworkers_test.go
+++ b/pool/worldworkers_test.go
@@ -191,23 +191,23 @@
 		return l.answer(work.Fenced)
 	}
 	if o.Deadline > 0 && o.Deadline < l.clock() {
-		return l.answer(work.Late)
+		return l.answer(work.DeadlinePassed)
 	}
 	l.extend(o.Deadline)
 	used := 0
 	for _, x := range l.runs {
 		switch {
 		case x.task == o.Task && x.number == o.Run && x.to.IsZero():
-			return l.answer(work.Done)
+			return l.answer(work.Accepted)
 		case x.task == o.Task && !x.to.IsZero() && o.Run <= x.number:
-			return l.answer(work.Old)
+			return l.answer(work.OldRun)
 		case x.to.IsZero():
 			used += modelTask
 		}
 	}
 	switch {
 	case o.Run <= l.stopped[o.Task]:
-		return l.answer(work.Old)
+		return l.answer(work.OldRun)
 	case !w.unguarded && used+modelTask > w.room-l.less:
 		return l.answer(work.NoRoom)
 	case used+modelTask > w.room:
@@ -243,7 +243,7 @@
 			x.end("done")
 		})
 	}
-	return l.answer(work.Done)
+	return l.answer(work.Accepted)
 }
 
 // takes returns how long a run of the task takes, 0 for ever, and whether it fails.
@@ -274,7 +274,7 @@
 			})
 		}
 	}
-	return l.answer(work.Done)
+	return l.answer(work.Accepted)
 }
 
 func (w *world) hold(id string, to *life, o work.Hold) *work.Report {
@@ -318,22 +318,22 @@
 	case l.dead:
 		return &work.Report{Answer: work.Answer{Refusal: work.OtherLife}}
 	}
-	rep := &work.Report{Answer: l.answer(work.Done)}
+	rep := &work.Report{Answer: l.answer(work.Accepted)}
 	rep.Birth = l.birth
 	for _, x := range l.runs {
 		switch {
 		case x.to.IsZero():
-			row := work.Row{Task: x.task, Run: x.number, Percent: 50}
+			row := work.RunStatus{Task: x.task, Run: x.number, Percent: 50}
 			if time.Since(x.from) > modelWarm {
 				row.Percent = 100
 			}
 			rep.Running = append(rep.Running, row)
 		case x.n > l.acked:
-			how := map[string]work.How{"done": work.Succeeded, "failed": work.Failed, "stopped": work.Stopped, "lapsed": work.Lapsed}[x.how]
-			rep.Ended = append(rep.Ended, work.End{N: x.n, Task: x.task, Run: x.number, How: how})
+			how := map[string]work.Outcome{"done": work.Succeeded, "failed": work.Failed, "stopped": work.Stopped, "lapsed": work.Lapsed}[x.how]
+			rep.Ended = append(rep.Ended, work.EndedRun{Seq: x.n, Task: x.task, Run: x.number, Outcome: how})
 		}
 	}
-	slices.SortFunc(rep.Ended, func(a, b work.End) int { return int(a.N - b.N) })
+	slices.SortFunc(rep.Ended, func(a, b work.EndedRun) int { return int(a.Seq - b.Seq) })
 	return rep
 }
 
--- a/provider/client.go
+++ b/provider/client.go
@@ -33,8 +33,8 @@
 	RoleEntry  Role = "entry"
 )
 
-// Listed is one row of the instance list; the list lags.
-type Listed struct {
+// Instance is one row of the instance list; the list lags.
+type Instance struct {
 	ID         string `json:"id"`
 	Role       Role   `json:"role"`
 	DataCentre string `json:"data_centre"`
@@ -107,8 +107,8 @@
 type Usage struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
-	// Ran is how long the task had run, in nanoseconds.
-	Ran time.Duration `json:"ran"`
+	// RunTime is how long the task had run, in nanoseconds.
+	RunTime time.Duration `json:"ran"`
 }
 
 // TaskReport is the platform's answer about a task.
@@ -118,7 +118,7 @@
 	Usage *Usage `json:"usage"`
 }
 
-// Hold renews the leases of tasks of one instance.
+// RenewLeases renews the leases of tasks of one instance.
 type Hold struct {
 	// Lease is how long each may run without another renewal, in nanoseconds.
 	Lease time.Duration `json:"lease"`
@@ -134,9 +134,9 @@
 	Limit int `json:"limit,omitempty"`
 }
 
-// List is an answer of the instance list.
-type List struct {
-	Instances []Listed
+// InstanceList is an answer of the instance list.
+type InstanceList struct {
+	Instances []Instance
 	// Tag names the answer (an HTTP entity tag); empty when the platform gives none.
 	Tag string
 	// Compressed says that the answer travelled compressed.
@@ -146,9 +146,9 @@
 }
 
 // Instances returns the list of live and leaving instances, or says that it is still the one with the tag.
-func (c *Client) Instances(ctx context.Context, tag string) (List, error) {
+func (c *Client) Instances(ctx context.Context, tag string) (InstanceList, error) {
 	var answer struct {
-		Instances []Listed `json:"instances"`
+		Instances []Instance `json:"instances"`
 	}
 	header := http.Header{}
 	if tag != "" {
@@ -156,13 +156,13 @@
 	}
 	got, err := c.do(ctx, http.MethodGet, "/v1/instances", header, nil, &answer)
 	if errors.Is(err, errNotModified) {
-		return List{Tag: tag, Unchanged: true}, nil
+		return InstanceList{Tag: tag, Unchanged: true}, nil
 	}
-	return List{Instances: answer.Instances, Tag: got.Get("ETag"), Compressed: got.Get(compressedMark) != ""}, err
+	return InstanceList{Instances: answer.Instances, Tag: got.Get("ETag"), Compressed: got.Get(compressedMark) != ""}, err
 }
 
-// Run asks for the command and returns its state; the same ID runs once.
-func (c *Client) Run(ctx context.Context, instance, id string, cmd Command) (CommandState, error) {
+// RunCommand asks for the command and returns its state; the same ID runs once.
+func (c *Client) RunCommand(ctx context.Context, instance, id string, cmd Command) (CommandState, error) {
 	return c.command(ctx, http.MethodPut, instance, id, cmd)
 }
 
@@ -185,8 +185,8 @@
 	return c.task(ctx, http.MethodPut, instance, id, "", t)
 }
 
-// Hold renews the leases and returns what is known of each task: as soon as one of them does not run, or after the wait.
-func (c *Client) Hold(ctx context.Context, instance string, h Hold) (map[string]TaskReport, error) {
+// RenewLeases renews the leases and returns what is known of each task: as soon as one of them does not run, or after the wait.
+func (c *Client) RenewLeases(ctx context.Context, instance string, h Hold) (map[string]TaskReport, error) {
 	var answer struct {
 		Tasks map[string]TaskReport `json:"tasks"`
 	}
--- a/provider/client_test.go
+++ b/provider/client_test.go
@@ -40,7 +40,7 @@
 	c.Assert(r.Usage, quicktest.IsNil)
 	r, err = clientOf(200, []byte(`{"state":"running","usage":{"cores":1.5,"memory_mb":20,"ran":1000}}`)).Task(context.Background(), "i", "j.1")
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(*r.Usage, quicktest.Equals, Usage{Cores: 1.5, MemoryMB: 20, Ran: 1000})
+	c.Assert(*r.Usage, quicktest.Equals, Usage{Cores: 1.5, MemoryMB: 20, RunTime: 1000})
 }
 
 // FuzzAnswers reads whatever the platform may say about instances, commands and tasks.
--- a/route/budget.go
+++ b/route/budget.go
@@ -21,8 +21,8 @@
 	DefaultRetryBurst = 10
 )
 
-// First counts a first attempt.
-func (b *RetryBudget) First() {
+// Deposit counts a first attempt.
+func (b *RetryBudget) Deposit() {
 	ratio, burst := b.Ratio, b.Burst
 	if ratio == 0 {
 		ratio = DefaultRetryRatio
@@ -35,8 +35,8 @@
 	b.saved = min(burst, b.saved+ratio)
 }
 
-// Retry takes one retry from the budget and says whether there was one.
-func (b *RetryBudget) Retry() bool {
+// TryWithdraw takes one retry from the budget and says whether there was one.
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.saved < 1 {
--- a/route/errors.go
+++ b/route/errors.go
@@ -15,7 +15,7 @@
 	KindFull     Kind = "queue-full"
 	KindNoTarget Kind = "no-target"
 	KindDeadline Kind = "deadline"
-	KindGone     Kind = "cancelled"
+	KindCancelled     Kind = "cancelled"
 	KindMoved    Kind = "moved"
 )
 
--- a/route/gate.go
+++ b/route/gate.go
@@ -36,8 +36,8 @@
 	Slots int
 	// Queue is the number of requests that may wait.
 	Queue int
-	// Elsewhere says that another entry runs the service's Gate now; who waits here is sent there.
-	Elsewhere bool
+	// Moved says that another entry runs the service's Gate now; who waits here is sent there.
+	Moved bool
 }
 
 // Gate gives the slots of one service's targets to requests.
@@ -46,8 +46,8 @@
 	Clock func() time.Time
 	// After runs f once the time has passed; time.AfterFunc when nil.
 	After func(d time.Duration, f func())
-	// Changed is called when a target falls sick or recovers; may be nil.
-	Changed func(instance string, sick bool)
+	// HealthChanged is called when a target falls sick or recovers; may be nil.
+	HealthChanged func(instance string, sick bool)
 
 	mu      sync.Mutex
 	limits  Limits
@@ -169,12 +169,12 @@
 	case <-timeout:
 		return g.leave(w, KindDeadline)
 	case <-ctx.Done():
-		return g.leave(w, KindGone)
+		return g.leave(w, KindCancelled)
 	}
 }
 
-// Free says whether the request would get a slot without waiting.
-func (g *Gate) Free(r Request) bool {
+// HasFreeSlot says whether the request would get a slot without waiting.
+func (g *Gate) HasFreeSlot(r Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.idle(r) && g.pick(r, g.now()) != nil
@@ -256,7 +256,7 @@
 }
 
 func (g *Gate) noTarget() *RefusedError {
-	if g.limits.Elsewhere {
+	if g.limits.Moved {
 		return &RefusedError{Kind: KindMoved}
 	}
 	return &RefusedError{Kind: KindNoTarget}
--- a/route/gate_test.go
+++ b/route/gate_test.go
@@ -166,7 +166,7 @@
 		for range 50 {
 			work.Go(func() {
 				_, err := g.Acquire(ctx, Request{Team: "t"})
-				c.Check(kindOf(err), quicktest.Equals, KindGone)
+				c.Check(kindOf(err), quicktest.Equals, KindCancelled)
 			})
 		}
 		synctest.Wait()
@@ -275,7 +275,7 @@
 			moved <- err
 		}()
 		synctest.Wait()
-		g.Set(Limits{Elsewhere: true}, nil)
+		g.Set(Limits{Moved: true}, nil)
 		c.Assert(kindOf(<-moved), quicktest.Equals, KindMoved)
 		c.Assert(g.Held(), quicktest.DeepEquals, map[string]int{"r0": 1})
 		l.Done(ResultOK)
@@ -394,8 +394,8 @@
 	var b RetryBudget
 	retries := 0
 	for range 1000 {
-		b.First()
-		if b.Retry() {
+		b.Deposit()
+		if b.TryWithdraw() {
 			retries++
 		}
 	}
--- a/route/lease.go
+++ b/route/lease.go
@@ -31,7 +31,7 @@
 	g.watch(now)
 	sick := s.sick
 	g.mu.Unlock()
-	if changed && g.Changed != nil {
-		g.Changed(s.Instance, sick)
+	if changed && g.HealthChanged != nil {
+		g.HealthChanged(s.Instance, sick)
 	}
 }
--- a/route/sharing_bench_test.go
+++ b/route/sharing_bench_test.go
@@ -130,7 +130,7 @@
 
 // offerNow brings a request to a gate only if a slot is free there.
 func (s *sim) offerNow(g *Gate, arrived, extra, work time.Duration) bool {
-	if !g.Free(Request{Team: "t"}) {
+	if !g.HasFreeSlot(Request{Team: "t"}) {
 		return false
 	}
 	s.offer(g, arrived, extra, work)
--- a/serve/auth.go
+++ b/serve/auth.go
@@ -9,12 +9,12 @@
 	"rackstep.dev/org"
 )
 
-// SameHash compares two token hashes in constant time.
-func SameHash(a, b string) bool {
+// EqualTokenHashes compares two token hashes in constant time.
+func EqualTokenHashes(a, b string) bool {
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
 // team returns the caller's team, or nil when its token is not known.
 func (v *View) team(r *http.Request) *org.Organisation {
-	return v.Organisations.Who(org.KeyOf(r.Header.Get("Authorization")))
+	return v.Organisations.ByKey(org.KeyOf(r.Header.Get("Authorization")))
 }
--- a/serve/execute.go
+++ b/serve/execute.go
@@ -54,7 +54,7 @@
 // free says whether the request would get a slot at once, and remembers how much is missing when not.
 func (s *Server) free(r *request) bool {
 	g := s.gateOf(r.Service.Name)
-	if g.Free(s.ask(r, nil)) {
+	if g.HasFreeSlot(s.ask(r, nil)) {
 		return true
 	}
 	s.spares.tell(r.Service.Name, s.DataCentre, g.Spare(), s.now())
@@ -90,7 +90,7 @@
 		p.RetryAfter = time.Second
 		return p
 	case claim.Complete:
-		p := unknown(http.StatusConflict, ReasonRanBefore, "nothing is to be done; the first answer went to the first copy",
+		p := unknown(http.StatusConflict, ReasonKeyCompleted, "nothing is to be done; the first answer went to the first copy",
 			"the request with the key %q ran and was answered with status %d", r.Key, v.Status)
 		p.FirstStatus = v.Status
 		return p
@@ -105,7 +105,7 @@
 	if r.Repeatable {
 		return nil
 	}
-	v, ok := s.Book.Look(s.claimOf(r, ""))
+	v, ok := s.Book.Lookup(s.claimOf(r, ""))
 	if !ok {
 		return nil
 	}
@@ -125,7 +125,7 @@
 // attempt gives the request to targets until one has answered, it may have run, or its time or the retry budget ends.
 func (s *Server) attempt(ctx context.Context, r *request) (*answer, *Problem) {
 	g := s.gateOf(r.Service.Name)
-	g.retries.First()
+	g.retries.Deposit()
 	mayHaveRun := false
 	var avoid []string
 	for {
@@ -137,14 +137,14 @@
 		}
 		a, p := s.dispatch(ctx, r, lease)
 		if p == nil {
-			if a.Status < http.StatusInternalServerError || !r.Repeatable || !g.retries.Retry() {
+			if a.Status < http.StatusInternalServerError || !r.Repeatable || !g.retries.TryWithdraw() {
 				return a, nil
 			}
 			a.End(false)
 			mayHaveRun = true
 		} else {
 			mayHaveRun = mayHaveRun || p.Outcome == OutcomeUnknown
-			if (mayHaveRun && !r.Repeatable) || ctx.Err() != nil || !g.retries.Retry() {
+			if (mayHaveRun && !r.Repeatable) || ctx.Err() != nil || !g.retries.TryWithdraw() {
 				return nil, settle(p, mayHaveRun)
 			}
 		}
@@ -184,7 +184,7 @@
 		p.Reason, p.Remedy = ReasonDeadline, "come back after the time in Retry-After or allow more time"
 	case route.KindMoved:
 		p.Reason = ReasonNotOwner
-	case route.KindGone:
+	case route.KindCancelled:
 		p.Reason, p.Status = ReasonDeadline, statusClientGone
 	}
 	return settle(p, mayHaveRun)
--- a/serve/fuzz_test.go
+++ b/serve/fuzz_test.go
@@ -23,9 +23,9 @@
 
 // emptyServer serves one service that has no target, so that nothing can run.
 func emptyServer() *Server {
-	s := &Server{Self: "e", DataCentre: "a", Targets: &Dispatcher{}, Events: &event.Ring{}, Book: &claim.Book{}}
-	svc := &Service{Service: fleet.Service{Name: "s", DataCentres: []string{"a"}}, Owner: "e", Slots: 1, Serving: []string{"a"}}
-	s.SetView(&View{Near: []string{"a"}, Services: map[string]*Service{"s": svc}, Organisations: fuzzTeams()})
+	s := &Server{Self: "e", DataCentre: "a", Targets: &Dispatcher{}, Events: &event.Ring{}, Book: &claim.Registry{}}
+	svc := &Service{Service: fleet.Service{Name: "s", DataCentres: []string{"a"}}, Owner: "e", Slots: 1, AvailableIn: []string{"a"}}
+	s.SetView(&View{ByDistance: []string{"a"}, Services: map[string]*Service{"s": svc}, Organisations: fuzzTeams()})
 	return s
 }
 
--- a/serve/problem.go
+++ b/serve/problem.go
@@ -40,7 +40,7 @@
 	ReasonNotClaimed   Reason = "not-claimed"
 	ReasonKeyTaken     Reason = "key-taken"
 	ReasonInProgress   Reason = "key-in-progress"
-	ReasonRanBefore    Reason = "key-completed"
+	ReasonKeyCompleted    Reason = "key-completed"
 	ReasonExpired      Reason = "not-after-passed"
 	ReasonTarget       Reason = "target-failed"
 	ReasonRelay        Reason = "relay-failed"
--- a/serve/run.go
+++ b/serve/run.go
@@ -91,7 +91,7 @@
 func (s *Server) places(v *View, r *request) []string {
 	var places []string
 	for _, dc := range v.Allowed(r.Service, r.Bound) {
-		if slices.Contains(r.Service.Serving, dc) {
+		if slices.Contains(r.Service.AvailableIn, dc) {
 			places = append(places, dc)
 		}
 	}
@@ -104,7 +104,7 @@
 		return false
 	}
 	if p.Outcome != OutcomeNotRun {
-		return r.Repeatable && p.Reason == ReasonRelay && s.gateOf(r.Service.Name).retries.Retry()
+		return r.Repeatable && p.Reason == ReasonRelay && s.gateOf(r.Service.Name).retries.TryWithdraw()
 	}
 	switch p.Reason {
 	case ReasonBusy, ReasonNoTarget, ReasonQueueFull, ReasonCutOff, ReasonNotOwner, ReasonNotReady, ReasonDeadline, ReasonRefused:
--- a/serve/server.go
+++ b/serve/server.go
@@ -22,7 +22,7 @@
 	// Self is the entry's name, DataCentre its place.
 	Self, DataCentre string
 	// Book makes claims.
-	Book *claim.Book
+	Book *claim.Registry
 	// Mesh reaches the other entries.
 	Mesh *peer.Mesh
 	// Targets sends requests to targets.
@@ -32,8 +32,8 @@
 	// Boot tells two lives of the entry apart.
 	Boot   string
 	Events *event.Ring
-	// Probe is called before and after each step of a request; a fault switch of tests, nil in operation.
-	Probe func(step Step, after bool)
+	// OnStep is called before and after each step of a request; a fault switch of tests, nil in operation.
+	OnStep func(step Step, after bool)
 	// Metrics receives counters and timers; tally.NoopScope when nil.
 	Metrics tally.Scope
 	// Clock returns the platform's time; time.Now when nil.
@@ -95,11 +95,11 @@
 	}
 }
 
-// MoveView replaces the view by one that differs only in its offset.
-func (s *Server) MoveView(v *View) { s.view.Store(v) }
+// AdvanceView replaces the view by one that differs only in its offset.
+func (s *Server) AdvanceView(v *View) { s.view.Store(v) }
 
 func (s *Server) limits(svc *Service) route.Limits {
-	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Elsewhere: svc.Owner != "" && svc.Owner != s.Self}
+	return route.Limits{Slots: svc.Slots, Queue: svc.QueueLimit(), Moved: svc.Owner != "" && svc.Owner != s.Self}
 }
 
 // routable returns the targets that this entry may give requests to.
@@ -115,7 +115,7 @@
 	g := s.gates[service]
 	if g == nil {
 		g = &gate{}
-		g.Changed = s.targetChanged
+		g.HealthChanged = s.targetChanged
 		s.gates[service] = g
 	}
 	return g
@@ -162,8 +162,8 @@
 // Ready says whether the balancer should send callers here.
 func (s *Server) Ready() bool { return s.linked.Load() && s.View() != nil && !s.stopping.Load() }
 
-// SetLinked says that the entry has tried to link to the other data centres.
-func (s *Server) SetLinked() { s.linked.Store(true) }
+// SetLinkAttempted says that the entry has tried to link to the other data centres.
+func (s *Server) SetLinkAttempted() { s.linked.Store(true) }
 
 // Stop begins a planned stop: the entry is no longer ready but serves on.
 func (s *Server) Stop() { s.stopping.Store(true) }
--- a/serve/spares_test.go
+++ b/serve/spares_test.go
@@ -55,7 +55,7 @@
 
 func TestAnEntrysOwnRegionComesFirst(t *testing.T) {
 	c := quicktest.New(t)
-	v := &View{Near: []string{"a", "b", "c", "d"}, Region: 2}
+	v := &View{ByDistance: []string{"a", "b", "c", "d"}, RegionSize: 2}
 	c.Assert(v.nearby([]string{"a", "b", "c"}), quicktest.Equals, 2)
 	c.Assert(v.nearby([]string{"b", "d"}), quicktest.Equals, 1)
 	c.Assert(v.nearby([]string{"c", "d"}), quicktest.Equals, 2) // none is near
--- a/serve/step.go
+++ b/serve/step.go
@@ -23,7 +23,7 @@
 
 // probe tells the test's switch that the step begins or has ended.
 func (s *Server) probe(step Step, after bool) {
-	if s.Probe != nil {
-		s.Probe(step, after)
+	if s.OnStep != nil {
+		s.OnStep(step, after)
 	}
 }
--- a/serve/view.go
+++ b/serve/view.go
@@ -21,10 +21,10 @@
 	Organisations *org.Directory
 	// Entries are the live entries that can be reached, by data centre and in order of their names.
 	Entries map[string][]string
-	// Near lists the data centres, the nearest first.
-	Near []string
-	// Region is the number of data centres at the beginning of Near that are in this entry's region.
-	Region int
+	// ByDistance lists the data centres, the nearest first.
+	ByDistance []string
+	// RegionSize is the number of data centres at the beginning of Near that are in this entry's region.
+	RegionSize int
 }
 
 // nearby returns how many of the places, which are in the order of Near, are as near as the first one: in this entry's
@@ -32,7 +32,7 @@
 func (v *View) nearby(places []string) int {
 	n := 0
 	for _, dc := range places {
-		if slices.Index(v.Near, dc) < v.Region {
+		if slices.Index(v.ByDistance, dc) < v.RegionSize {
 			n++
 		}
 	}
@@ -51,14 +51,14 @@
 	Slots int
 	// Targets are the available targets in this data centre.
 	Targets []route.Target
-	// Serving are the data centres that have an available target.
-	Serving []string
+	// AvailableIn are the data centres that have an available target.
+	AvailableIn []string
 }
 
 // Allowed returns the data centres where the request may run, the nearest first.
 func (v *View) Allowed(s *Service, bound string) []string {
 	var allowed []string
-	for _, dc := range v.Near {
+	for _, dc := range v.ByDistance {
 		if slices.Contains(s.DataCentres, dc) && (bound == "" || bound == dc) {
 			allowed = append(allowed, dc)
 		}
--- a/upkeep/moves.go
+++ b/upkeep/moves.go
@@ -15,12 +15,12 @@
 	// Headroom pools are off; what nobody wants belongs there.
 	Headroom bool
 	// Want is how many instances its tasks need now, Keep how many it is not to fall under.
-	Want, Keep float64
-	// Idle is how many it has needed over a longer time: what it has beyond that is parked. Soon is how many it will want
+	Want, Min float64
+	// LongTermNeed is how many it has needed over a longer time: what it has beyond that is parked. Soon is how many it will want
 	// before long.
-	Idle, Soon float64
-	// Lacks are, by label, how many instances with that label its tasks wait for, under AnyLabel how many of any.
-	Lacks map[string]int
+	LongTermNeed, SoonNeed float64
+	// Missing are, by label, how many instances with that label its tasks wait for, under AnyLabel how many of any.
+	Missing map[string]int
 	// Have counts those that serve it or are on their way to it.
 	Have int
 }
@@ -47,7 +47,7 @@
 	m := mover{pools: make(map[string]*Pool, len(pools)), free: make(map[string]*queue, len(pools)), all: instances}
 	for i := range pools {
 		p := pools[i]
-		p.Lacks = maps.Clone(p.Lacks)
+		p.Missing = maps.Clone(p.Missing)
 		m.pools[p.Name] = &p
 		m.names = append(m.names, p.Name)
 		if p.Headroom && m.headroom == "" {
@@ -220,7 +220,7 @@
 // supplyLacking moves an instance of a kind that the pool lacks; it says whether there was one.
 func (m *mover) supplyLacking(to *Pool) bool {
 	var best *row
-	for label, n := range to.Lacks {
+	for label, n := range to.Missing {
 		if n <= 0 {
 			continue
 		}
@@ -241,16 +241,16 @@
 const AnyLabel = ""
 
 // spares says whether a pool has an instance more than it keeps.
-func spares(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(p.Keep) }
+func spares(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(p.Min) }
 
 // idles says whether a pool has had an instance more than it needed for long, and will have.
-func idles(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(max(p.Keep, p.Idle, p.Soon)) }
+func idles(p *Pool) bool { return float64(p.Have-1) >= math.Ceil(max(p.Min, p.LongTermNeed, p.SoonNeed)) }
 
 // prepare moves idle instances to the pools that will want them soon.
 func (m *mover) prepare() {
-	gives := func(from *Pool) bool { return spares(from) && float64(from.Have-1) >= from.Soon }
+	gives := func(from *Pool) bool { return spares(from) && float64(from.Have-1) >= from.SoonNeed }
 	for _, n := range m.names {
-		for p := m.pools[n]; float64(p.Have) < math.Ceil(p.Soon); {
+		for p := m.pools[n]; float64(p.Have) < math.Ceil(p.SoonNeed); {
 			x := m.cheapest(p, gives, (*queue).next)
 			if x == nil || x.Runs > 0 {
 				return
@@ -264,10 +264,10 @@
 	m.moves = append(m.moves, Move{Instance: x.Name, From: x.Pool, To: to.Name})
 	m.pools[x.Pool].Have--
 	to.Have++
-	if len(to.Lacks) > 0 {
-		to.Lacks[AnyLabel]--
+	if len(to.Missing) > 0 {
+		to.Missing[AnyLabel]--
 		for _, l := range x.Labels {
-			to.Lacks[l]--
+			to.Missing[l]--
 		}
 	}
 	x.taken = true
--- a/upkeep/moves_test.go
+++ b/upkeep/moves_test.go
@@ -49,10 +49,10 @@
 	for _, n := range m.names {
 		p := m.pools[n]
 		i := 0
-		for i >= 0 && float64(p.Have) < math.Ceil(p.Soon) {
+		for i >= 0 && float64(p.Have) < math.Ceil(p.SoonNeed) {
 			if i = slices.IndexFunc(free, func(x Instance) bool {
 				f := m.pools[x.Pool]
-				return x.Runs == 0 && f != p && (f.Headroom || (spares(f) && float64(f.Have-1) >= f.Soon))
+				return x.Runs == 0 && f != p && (f.Headroom || (spares(f) && float64(f.Have-1) >= f.SoonNeed))
 			}); i >= 0 {
 				move(i, p)
 			}
@@ -76,7 +76,7 @@
 	figure := rapid.Float64Range(0, 12)
 	pools := []Pool{{Name: "off", Headroom: true}}
 	for i := range rapid.IntRange(1, 4).Draw(r, "pools") {
-		pools = append(pools, Pool{Name: fmt.Sprint("p", i), Want: figure.Draw(r, "want"), Keep: figure.Draw(r, "keep"), Idle: figure.Draw(r, "idle"), Soon: figure.Draw(r, "soon")})
+		pools = append(pools, Pool{Name: fmt.Sprint("p", i), Want: figure.Draw(r, "want"), Min: figure.Draw(r, "keep"), LongTermNeed: figure.Draw(r, "idle"), SoonNeed: figure.Draw(r, "soon")})
 	}
 	var instances []Instance
 	for i := range rapid.IntRange(0, 40).Draw(r, "instances") {
@@ -119,7 +119,7 @@
 // TestInstancesOfADrainedDataCentreServeNoPool has them rest, where nothing runs there, and serve nobody.
 func TestInstancesOfADrainedDataCentreServeNoPool(t *testing.T) {
 	c := quicktest.New(t)
-	pools := []Pool{{Name: "a", Want: 2, Keep: 2, Idle: 9, Have: 0}, {Name: "off", Headroom: true, Have: 1}}
+	pools := []Pool{{Name: "a", Want: 2, Min: 2, LongTermNeed: 9, Have: 0}, {Name: "off", Headroom: true, Have: 1}}
 	instances := []Instance{
 		{Name: "a1", Pool: "a", Drained: true}, {Name: "a2", Pool: "a", Drained: true, Runs: 1}, {Name: "a3", Pool: "a", Drained: true, Runs: 1, Lasting: 1},
 		{Name: "o1", Pool: "off", Drained: true}, {Name: "o2", Pool: "off"},
@@ -131,7 +131,7 @@
 func idleFleet(n int) ([]Pool, []Instance) {
 	pools := []Pool{{Name: "off", Headroom: true}}
 	for i := range 4 {
-		pools = append(pools, Pool{Name: fmt.Sprint("p", i), Want: float64(n / 100), Keep: float64(n / 100)})
+		pools = append(pools, Pool{Name: fmt.Sprint("p", i), Want: float64(n / 100), Min: float64(n / 100)})
 	}
 	instances := make([]Instance, n)
 	for i := range n {
--- a/upkeep/turns.go
+++ b/upkeep/turns.go
@@ -27,8 +27,8 @@
 	smoothOver = 500 * time.Millisecond
 )
 
-// Turn is what is known of a pool's turns of load.
-type Turn struct {
+// Burst is what is known of a pool's turns of load.
+type Burst struct {
 	// Began is when its latest turn began; zero when it had none.
 	Began time.Time
 	// Need is the most that its latest turn brought, in instances, smoothed over smoothOver.
@@ -38,8 +38,8 @@
 	// load is its smoothed load, seen when it was last looked at.
 	load float64
 	seen time.Time
-	// Loaded says that the turn goes on; calm since when it has been nearly without load.
-	Loaded bool
+	// Active says that the turn goes on; calm since when it has been nearly without load.
+	Active bool
 	calm   time.Time
 	// Missed says that its turn did not come when it was expected.
 	Missed bool
@@ -47,20 +47,20 @@
 	Ended bool
 }
 
-// Turns learns how load goes round the pools: one after the other is at its turn, for about as long each time. The zero
+// Bursts learns how load goes round the pools: one after the other is at its turn, for about as long each time. The zero
 // value knows nothing.
-type Turns struct {
-	Pools map[string]*Turn
-	// Gap is the time between the onsets of two turns, 0 while unknown.
-	Gap time.Duration
+type Bursts struct {
+	Pools map[string]*Burst
+	// Interval is the time between the onsets of two turns, 0 while unknown.
+	Interval time.Duration
 	// Last is the pool whose turn began last.
 	Last string
-	// Round says that some pool had a second turn, so that pools without one have none.
-	Round bool
+	// SecondRound says that some pool had a second turn, so that pools without one have none.
+	SecondRound bool
 }
 
-// Expected is a turn that is to come, and what it will bring in instances.
-type Expected struct {
+// ExpectedBurst is a turn that is to come, and what it will bring in instances.
+type ExpectedBurst struct {
 	Pool string
 	Need float64
 }
@@ -72,14 +72,14 @@
 	Have       int
 }
 
-// See takes note of a pool's load.
-func (t *Turns) See(pool string, l Load, now time.Time) {
+// Observe takes note of a pool's load.
+func (t *Bursts) Observe(pool string, l Load, now time.Time) {
 	if t.Pools == nil {
-		t.Pools = make(map[string]*Turn)
+		t.Pools = make(map[string]*Burst)
 	}
 	p := t.Pools[pool]
 	if p == nil {
-		p = new(Turn)
+		p = new(Burst)
 		t.Pools[pool] = p
 	}
 	if !p.seen.IsZero() {
@@ -90,45 +90,45 @@
 	load := p.load
 	from := max(onsetLeast, onsetShare*float64(l.Have), onsetPart*t.need(p))
 	switch {
-	case load >= from && !p.Loaded:
+	case load >= from && !p.Active:
 		t.begin(pool, p, now)
 		p.Need, p.Used = load, 0
-	case load < from/2 && p.Loaded:
+	case load < from/2 && p.Active:
 		if p.calm.IsZero() {
 			p.calm = now
 		}
 		if now.Sub(p.calm) >= calmFor {
-			p.Loaded, p.Ended = false, true
+			p.Active, p.Ended = false, true
 		}
 	default:
 		p.calm = time.Time{}
 	}
-	if p.Loaded {
+	if p.Active {
 		p.Need = max(p.Need, load)
 		p.Used = max(p.Used, l.Used)
 	}
 }
 
-func (t *Turns) begin(pool string, p *Turn, now time.Time) {
+func (t *Bursts) begin(pool string, p *Burst, now time.Time) {
 	if last := t.Pools[t.Last]; last != nil {
 		gap := now.Sub(last.Began)
 		switch {
-		case t.Gap == 0 || gap > gapMost*t.Gap:
-			t.Gap = gap
+		case t.Interval == 0 || gap > gapMost*t.Interval:
+			t.Interval = gap
 		default:
-			t.Gap += time.Duration(gapRate * float64(gap-t.Gap))
+			t.Interval += time.Duration(gapRate * float64(gap-t.Interval))
 		}
 	}
 	if e := t.due(); len(e) == 1 && e[0] != pool {
 		t.Pools[e[0]].Missed = true
 	}
-	t.Round = t.Round || !p.Began.IsZero()
-	p.Began, p.Loaded, p.calm, p.Missed = now, true, time.Time{}, false
+	t.SecondRound = t.SecondRound || !p.Began.IsZero()
+	p.Began, p.Active, p.calm, p.Missed = now, true, time.Time{}, false
 	t.Last = pool
 }
 
 // need returns what a turn of the pool brings: what its latest one did, else the mean of the others.
-func (t *Turns) need(p *Turn) float64 {
+func (t *Bursts) need(p *Burst) float64 {
 	if p.Need > 0 {
 		return p.Need
 	}
@@ -145,20 +145,20 @@
 	return sum / float64(n)
 }
 
-// Whole returns what a whole turn of the pool needs and what it has at work, in instances: what its latest one did that is over, else the mean of the
+// FullDemand returns what a whole turn of the pool needs and what it has at work, in instances: what its latest one did that is over, else the mean of the
 // others' that are over or have gone on for settledAfter; known says that it is its own, or that it has none. Nothing and not known means that there is
 // no such turn yet.
-func (t *Turns) Whole(pool string, now time.Time) (need, used float64, known bool) {
+func (t *Bursts) FullDemand(pool string, now time.Time) (need, used float64, known bool) {
 	p := t.Pools[pool]
 	switch {
 	case p != nil && p.Ended:
 		return p.Need, p.Used, true
-	case t.Round && (p == nil || p.Began.IsZero()):
+	case t.SecondRound && (p == nil || p.Began.IsZero()):
 		return 0, 0, true
 	}
 	n := 0
 	for _, o := range t.Pools {
-		if o.Ended || (o.Loaded && o != p && now.Sub(o.Began) >= settledAfter) {
+		if o.Ended || (o.Active && o != p && now.Sub(o.Began) >= settledAfter) {
 			need += o.Need
 			used += o.Used
 			n++
@@ -171,12 +171,12 @@
 }
 
 // due returns the pools whose turn may be next: those that had none yet, else the one whose turn is longest ago.
-func (t *Turns) due() []string {
+func (t *Bursts) due() []string {
 	var fresh []string
 	oldest := ""
 	for name, p := range t.Pools {
 		switch {
-		case p.Loaded || p.Missed || name == t.Last:
+		case p.Active || p.Missed || name == t.Last:
 		case p.Began.IsZero():
 			fresh = append(fresh, name)
 		case oldest == "" || p.Began.Before(t.Pools[oldest].Began):
@@ -184,7 +184,7 @@
 		}
 	}
 	switch {
-	case len(fresh) > 0 && !t.Round:
+	case len(fresh) > 0 && !t.SecondRound:
 		return fresh
 	case oldest != "":
 		return []string{oldest}
@@ -193,31 +193,31 @@
 }
 
 // Next returns the turns to be expected within the time given; each of several that are equally likely gets its part.
-func (t *Turns) Next(within time.Duration, now time.Time) []Expected {
+func (t *Bursts) Next(within time.Duration, now time.Time) []ExpectedBurst {
 	last := t.Pools[t.Last]
-	if last == nil || t.Gap == 0 {
+	if last == nil || t.Interval == 0 {
 		return nil
 	}
-	at := last.Began.Add(t.Gap)
-	if now.Before(at.Add(-within)) || now.After(at.Add(time.Duration(lateMost*float64(t.Gap)))) {
+	at := last.Began.Add(t.Interval)
+	if now.Before(at.Add(-within)) || now.After(at.Add(time.Duration(lateMost*float64(t.Interval)))) {
 		return nil
 	}
 	due := t.due()
-	out := make([]Expected, 0, len(due))
+	out := make([]ExpectedBurst, 0, len(due))
 	for _, name := range due {
-		out = append(out, Expected{Pool: name, Need: t.need(t.Pools[name]) / float64(len(due))})
+		out = append(out, ExpectedBurst{Pool: name, Need: t.need(t.Pools[name]) / float64(len(due))})
 	}
 	return out
 }
 
-// Loaded says whether the pool is at a turn.
-func (t *Turns) Loaded(pool string) bool {
+// Active says whether the pool is at a turn.
+func (t *Bursts) Active(pool string) bool {
 	p := t.Pools[pool]
-	return p != nil && p.Loaded
+	return p != nil && p.Active
 }
 
-// Fresh says whether a pool may still come to its first turn, or is at it: its load is not known yet.
-func (t *Turns) Fresh(pool string) bool {
+// DemandUnknown says whether a pool may still come to its first turn, or is at it: its load is not known yet.
+func (t *Bursts) DemandUnknown(pool string) bool {
 	p := t.Pools[pool]
-	return !t.Round && (p == nil || !p.Ended)
+	return !t.SecondRound && (p == nil || !p.Ended)
 }
--- a/upkeep/upkeep_test.go
+++ b/upkeep/upkeep_test.go
@@ -11,7 +11,7 @@
 
 func TestMoves(t *testing.T) {
 	pools := func(a, keepA float64, haveA int, b float64, haveB, spare int) []Pool {
-		return []Pool{{Name: "a", Want: a, Keep: keepA, Have: haveA}, {Name: "b", Want: b, Keep: b, Have: haveB}, {Name: "spare", Headroom: true, Have: spare}}
+		return []Pool{{Name: "a", Want: a, Min: keepA, Have: haveA}, {Name: "b", Want: b, Min: b, Have: haveB}, {Name: "spare", Headroom: true, Have: spare}}
 	}
 	for _, test := range [...]struct {
 		name      string
@@ -53,7 +53,7 @@
 		{"none has it", 1, map[string]int{"green": 2}, "[]"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			pools := []Pool{{Name: "p", Want: test.want, Keep: 5, Have: 1, Lacks: test.lacks}, {Name: "spare", Headroom: true, Have: 3}}
+			pools := []Pool{{Name: "p", Want: test.want, Min: 5, Have: 1, Missing: test.lacks}, {Name: "spare", Headroom: true, Have: 3}}
 			quicktest.Assert(t, fmt.Sprint(Moves(pools, instances)), quicktest.Equals, test.moves)
 		})
 	}
--- a/upkeep/wave.go
+++ b/upkeep/wave.go
@@ -23,13 +23,13 @@
 
 // Wave is what is known of a wave of upkeep.
 type Wave struct {
-	// Most may be away at once.
-	Most int
-	// Left counts the instances whose upkeep is not over, Out those of them that are being emptied or away, OutLasting those of
+	// MaxAway may be away at once.
+	MaxAway int
+	// Remaining counts the instances whose upkeep is not over, Out those of them that are being emptied or away, OutLasting those of
 	// these that lasting tasks still hold.
-	Left, Out, OutLasting int
+	Remaining, Out, OutLasting int
 	// Within is the time that the wave has, Since what has passed of it, Each what one upkeep takes.
-	Within, Since, Each time.Duration
+	Within, Elapsed, Each time.Duration
 }
 
 // Candidate is an instance whose upkeep can begin.
@@ -42,8 +42,8 @@
 // width returns how many of that many instances must be out at a time for the wave to be done in time, when each takes as long
 // to be emptied.
 func (w Wave) width(instances int, empty time.Duration) int {
-	left := time.Duration(useOf*float64(w.Within)) - w.Since
-	most := 2 * max(w.Most, 1) // as many are emptied as are away, so that none waits to begin
+	left := time.Duration(useOf*float64(w.Within)) - w.Elapsed
+	most := 2 * max(w.MaxAway, 1) // as many are emptied as are away, so that none waits to begin
 	if left <= 0 {
 		return most
 	}
@@ -60,7 +60,7 @@
 		return cmp.Or(cmp.Compare(a.Lasting, b.Lasting), cmp.Compare(a.Runs, b.Runs), cmp.Compare(a.Name, b.Name))
 	})
 	spare := maps.Clone(surplus)
-	width := w.width(w.Left, emptyFor)
+	width := w.width(w.Remaining, emptyFor)
 	var out []Candidate
 	var busy, lasting []Candidate
 	for _, x := range all {
@@ -69,7 +69,7 @@
 			continue
 		}
 		idle := x.Runs == 0 && spare[x.Pool] > 0
-		if !idle || w.Out+len(out) >= max(w.Most, 1) {
+		if !idle || w.Out+len(out) >= max(w.MaxAway, 1) {
 			busy = append(busy, x)
 			continue
 		}
--- a/upkeep/wave_test.go
+++ b/upkeep/wave_test.go
@@ -21,7 +21,7 @@
 		{Name: "busy", Pool: "a", Runs: 4},
 		{Name: "lasting", Pool: "b", Runs: 2, Lasting: 2},
 	}
-	early := Wave{Most: 3, Left: 5, Within: time.Minute, Each: 2 * time.Second}
+	early := Wave{MaxAway: 3, Remaining: 5, Within: time.Minute, Each: 2 * time.Second}
 	for _, test := range [...]struct {
 		name    string
 		wave    Wave
@@ -30,10 +30,10 @@
 	}{
 		{"what nobody needs goes at once", early, 2, "idle idle2 off lasting"},
 		{"what a pool needs waits", early, 1, "idle off lasting"},
-		{"one at a time goes on while nothing is idle", Wave{Most: 3, Left: 5, Out: 1, OutLasting: 1, Within: time.Minute, Each: 2 * time.Second}, 0, "off"},
-		{"faster when time runs out", Wave{Most: 3, Left: 5, Within: time.Minute, Since: 40 * time.Second, Each: 2 * time.Second}, 0, "off lasting idle idle2"},
-		{"all that can be emptied when it is late", Wave{Most: 2, Left: 5, Within: time.Minute, Since: 50 * time.Second, Each: 2 * time.Second}, 0, "off lasting idle idle2"},
-		{"no more than twice those that may be away", Wave{Most: 1, Left: 5, Out: 1, Within: time.Minute, Since: time.Hour}, 2, "lasting"},
+		{"one at a time goes on while nothing is idle", Wave{MaxAway: 3, Remaining: 5, Out: 1, OutLasting: 1, Within: time.Minute, Each: 2 * time.Second}, 0, "off"},
+		{"faster when time runs out", Wave{MaxAway: 3, Remaining: 5, Within: time.Minute, Elapsed: 40 * time.Second, Each: 2 * time.Second}, 0, "off lasting idle idle2"},
+		{"all that can be emptied when it is late", Wave{MaxAway: 2, Remaining: 5, Within: time.Minute, Elapsed: 50 * time.Second, Each: 2 * time.Second}, 0, "off lasting idle idle2"},
+		{"no more than twice those that may be away", Wave{MaxAway: 1, Remaining: 5, Out: 1, Within: time.Minute, Elapsed: time.Hour}, 2, "lasting"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := ""
@@ -49,26 +49,26 @@
 func TestAWaveIsInTimeAtItsPace(t *testing.T) {
 	for _, n := range []int{1, 7, 27, 60} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			w := Wave{Most: 10, Left: n, Within: 30 * time.Second, Each: 2 * time.Second}
+			w := Wave{MaxAway: 10, Remaining: n, Within: 30 * time.Second, Each: 2 * time.Second}
 			var waiting []Candidate
 			for i := range n {
 				waiting = append(waiting, Candidate{Name: fmt.Sprint("m", i), Pool: "a", Runs: 1})
 			}
 			var ends []time.Duration
-			for ; w.Left > 0; w.Since += 100 * time.Millisecond {
-				for len(ends) > 0 && ends[0] <= w.Since {
+			for ; w.Remaining > 0; w.Elapsed += 100 * time.Millisecond {
+				for len(ends) > 0 && ends[0] <= w.Elapsed {
 					ends = ends[1:]
-					w.Left--
+					w.Remaining--
 					w.Out--
 				}
 				next := Next(w, waiting, nil)
 				waiting = waiting[len(next):]
 				w.Out += len(next)
 				for range next {
-					ends = append(ends, w.Since+w.Each+emptyFor)
+					ends = append(ends, w.Elapsed+w.Each+emptyFor)
 				}
 			}
-			quicktest.Assert(t, w.Since <= w.Within, quicktest.IsTrue, quicktest.Commentf("took %v", w.Since))
+			quicktest.Assert(t, w.Elapsed <= w.Within, quicktest.IsTrue, quicktest.Commentf("took %v", w.Elapsed))
 		})
 	}
 }
@@ -86,7 +86,7 @@
 		ready, ends time.Duration
 	}
 	r := rand.New(rand.NewPCG(1, 1))
-	w := Wave{Most: 230, Left: instances, Within: 24 * time.Second, Each: 2 * time.Second}
+	w := Wave{MaxAway: 230, Remaining: instances, Within: 24 * time.Second, Each: 2 * time.Second}
 	holds := make([][]int, instances)
 	for step := range steps {
 		for range tasks/2 + 1 { // the other half is on instances that are not of the wave
@@ -100,14 +100,14 @@
 	}
 	var outs []*out
 	var away [steps][]time.Duration // when the tasks that are away are back
-	for ; w.Left > 0 && w.Since < time.Minute; w.Since += tick {
+	for ; w.Remaining > 0 && w.Elapsed < time.Minute; w.Elapsed += tick {
 		for _, x := range Next(w, waiting, nil) {
 			i, _ := strconv.Atoi(x.Name)
-			outs = append(outs, &out{steps: holds[i], ready: w.Since + emptyFor})
+			outs = append(outs, &out{steps: holds[i], ready: w.Elapsed + emptyFor})
 			waiting = slices.DeleteFunc(waiting, func(o Candidate) bool { return o.Name == x.Name })
 		}
 		for step := range away {
-			away[step] = slices.DeleteFunc(away[step], func(back time.Duration) bool { return back <= w.Since })
+			away[step] = slices.DeleteFunc(away[step], func(back time.Duration) bool { return back <= w.Elapsed })
 		}
 		down := 0
 		w.OutLasting = 0
@@ -116,26 +116,26 @@
 				if len(away[step]) >= mayMiss {
 					return false
 				}
-				away[step] = append(away[step], w.Since+gone)
+				away[step] = append(away[step], w.Elapsed+gone)
 				return true
 			})
 			if len(o.steps) > 0 {
 				w.OutLasting++
 			}
-			if o.ends > 0 && w.Since < o.ends {
+			if o.ends > 0 && w.Elapsed < o.ends {
 				down++
 			}
-			return o.ends > 0 && w.Since >= o.ends
+			return o.ends > 0 && w.Elapsed >= o.ends
 		})
 		for _, o := range outs {
-			if o.ends == 0 && len(o.steps) == 0 && w.Since >= o.ready && down < w.Most {
-				o.ends = w.Since + w.Each
+			if o.ends == 0 && len(o.steps) == 0 && w.Elapsed >= o.ready && down < w.MaxAway {
+				o.ends = w.Elapsed + w.Each
 				down++
 			}
 		}
 		w.Out = len(outs)
-		w.Left = len(outs) + len(waiting)
+		w.Remaining = len(outs) + len(waiting)
 	}
-	t.Logf("took %v", w.Since)
-	quicktest.Assert(t, w.Since <= w.Within*8/10, quicktest.IsTrue, quicktest.Commentf("took %v", w.Since))
+	t.Logf("took %v", w.Elapsed)
+	quicktest.Assert(t, w.Elapsed <= w.Within*8/10, quicktest.IsTrue, quicktest.Commentf("took %v", w.Elapsed))
 }
--- a/work/calls.go
+++ b/work/calls.go
@@ -16,8 +16,8 @@
 	ErrNotSent = errors.New("worker was not reached; nothing was done, try again later")
 	// ErrNoAnswer means that the call may have been done, or may still be done.
 	ErrNoAnswer = errors.New("worker gave no answer; look at what it runs before deciding")
-	// ErrCrowded means that nothing was sent, since this entry has no connection to spare for a worker that nothing is asked of.
-	ErrCrowded = errors.New("too many connections are open; ask again when others have been closed")
+	// ErrTooManyConnections means that nothing was sent, since this entry has no connection to spare for a worker that nothing is asked of.
+	ErrTooManyConnections = errors.New("too many connections are open; ask again when others have been closed")
 )
 
 // Worker is one life of a worker instance, as the platform lists it.
@@ -33,7 +33,7 @@
 	// Labels are the instance's; Rack is one of them.
 	Labels []string
 	Rack   string
-	Room   job.Need
+	Capacity   job.Need
 	// Cold is for how much longer it is slow since its start, as of its entry in the list.
 	Cold time.Duration
 	// Leaving says that the worker will end as planned; Remaining is the least time that remains.
@@ -49,20 +49,20 @@
 
 // Refusals of a worker.
 const (
-	// Done means that there is no refusal.
-	Done Refusal = iota
+	// Accepted means that there is no refusal.
+	Accepted Refusal = iota
 	// Fenced means that the worker has seen a higher fencing token.
 	Fenced
-	// Old means that the run is not above one that was stopped or ended there.
-	Old
-	// Late means that the deadline had passed.
-	Late
+	// OldRun means that the run is not above one that was stopped or ended there.
+	OldRun
+	// DeadlinePassed means that the deadline had passed.
+	DeadlinePassed
 	// NoRoom means that the worker has not the room.
 	NoRoom
 	// BadTicket means that the start needs another ticket.
 	BadTicket
-	// Unknown means that the worker takes the order for a mistake.
-	Unknown
+	// InvalidOrder means that the worker takes the order for a mistake.
+	InvalidOrder
 	// Unhealthy means that the worker takes no orders now and has done nothing.
 	Unhealthy
 	// OtherLife means that the address belongs to another life now.
@@ -123,13 +123,13 @@
 	Fence   int64
 }
 
-// How is the way a run ended.
-type How uint8
+// Outcome is the way a run ended.
+type Outcome uint8
 
 // Ways in which a run ends.
 const (
 	// Other ways do not count against the task.
-	Other How = iota
+	Other Outcome = iota
 	Succeeded
 	Failed
 	Stopped
@@ -140,12 +140,12 @@
 )
 
 // String returns the way's name.
-func (h How) String() string {
+func (h Outcome) String() string {
 	return [...]string{"other", "succeeded", "failed", "stopped", "lapsed", "broken", "alone"}[h]
 }
 
-// Row is one run that a worker lists.
-type Row struct {
+// RunStatus is one run that a worker lists.
+type RunStatus struct {
 	Task    string
 	Run     int64
 	Saved   string
@@ -154,20 +154,20 @@
 	Gauge float64
 }
 
-// End is one run that has ended; N rises by one from 1 within a life.
-type End struct {
-	N     int64
+// EndedRun is one run that has ended; N rises by one from 1 within a life.
+type EndedRun struct {
+	Seq     int64
 	Task  string
 	Run   int64
-	How   How
+	Outcome   Outcome
 	Saved string
 }
 
 // Report is what a worker says in answer to a Hold.
 type Report struct {
 	Answer
-	Running []Row
-	Ended   []End
+	Running []RunStatus
+	Ended   []EndedRun
 }
 
 // Calls are the calls to workers; an adapter or a test fills them in.
@@ -180,8 +180,8 @@
 	Pace  func(ctx context.Context, w *Worker, o Pace) (Answer, error)
 	// Forget closes what is open to the life.
 	Forget func(w *Worker)
-	// Crowded says whether connections are short, so that workers without work should be asked seldom; Rest closes what is open to one meanwhile.
+	// ConnectionsScarce says whether connections are short, so that workers without work should be asked seldom; Rest closes what is open to one meanwhile.
 	// Connections are never short when Crowded is nil.
-	Crowded func() bool
-	Rest    func(w *Worker)
+	ConnectionsScarce func() bool
+	CloseIdle    func(w *Worker)
 }
--- a/work/lease.go
+++ b/work/lease.go
@@ -7,8 +7,8 @@
 // slowest is the rate of the slowest clock that a worker may have, as the users' interface states it: 2% slow.
 const slowest = 0.98
 
-// Longest returns how long a lease of the duration can last by the local clock.
-func Longest(d time.Duration) time.Duration { return time.Duration(float64(d) / slowest) }
+// MaxLocal returns how long a lease of the duration can last by the local clock.
+func MaxLocal(d time.Duration) time.Duration { return time.Duration(float64(d) / slowest) }
 
 // Lease follows the clock and the longest lease of one life of a worker; the zero value knows neither.
 //
@@ -20,16 +20,16 @@
 	until time.Time
 }
 
-// Read takes a reading of the worker's clock that has just arrived; older readings are passed over.
-func (l *Lease) Read(c Clock, now time.Time) {
+// Observe takes a reading of the worker's clock that has just arrived; older readings are passed over.
+func (l *Lease) Observe(c Clock, now time.Time) {
 	if c <= 0 || c < l.clock {
 		return
 	}
 	l.clock, l.read = c, now
 }
 
-// Known says whether the clock was ever read.
-func (l *Lease) Known() bool { return l.clock > 0 }
+// ClockKnown says whether the clock was ever read.
+func (l *Lease) ClockKnown() bool { return l.clock > 0 }
 
 // Deadline returns a worker's time that is at the most the duration ahead of its clock, and 0 before any reading. The time
 // since the reading counts as a slow clock counts it, so that an old reading makes no lease longer.
@@ -46,11 +46,11 @@
 	if d == 0 {
 		return
 	}
-	l.Bound(l.read.Add(Longest(time.Duration(d-l.clock) * time.Millisecond)))
+	l.ExtendTo(l.read.Add(MaxLocal(time.Duration(d-l.clock) * time.Millisecond)))
 }
 
-// Bound takes note that something may be leased there until the time, whoever leased it.
-func (l *Lease) Bound(until time.Time) {
+// ExtendTo takes note that something may be leased there until the time, whoever leased it.
+func (l *Lease) ExtendTo(until time.Time) {
 	if until.After(l.until) {
 		l.until = until
 	}
