--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -24,8 +24,8 @@
 	name  string
 	fault platformtest.Fault
 }{
-	{"refused", platformtest.Refuse}, {"silent", platformtest.Silent}, {"done without an answer", platformtest.Lost},
-	{"done late without an answer", platformtest.Late},
+	{"refused", platformtest.Refuse}, {"silent", platformtest.Ignore}, {"done without an answer", platformtest.DropReply},
+	{"done late without an answer", platformtest.Delay},
 }
 
 // workload submits short jobs of two steps and records the responses.
@@ -68,7 +68,7 @@
 	state := ""
 	for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		_, state = w.d.call(node, http.MethodGet, id, nil)
-		if state == `{"State":"succeeded"}` || (state == `{"State":"failed"}` && w.d.platform.IncarnationsEndedUnder(id) >= job.LossLimitConclusive) {
+		if state == `{"State":"succeeded"}` || (state == `{"State":"failed"}` && w.d.platform.MaxWorkersLost(id) >= job.LossLimitConclusive) {
 			return
 		}
 	}
@@ -141,8 +141,8 @@
 // runRandomFaults plays one random history; with reborn, crashed workers restart under their old IDs.
 func runRandomFaults(c *quicktest.C, r *rand.Rand, reborn bool) {
 	d := deploy(c, 3, 4, func(p *platformtest.Platform) {
-		p.Reborn = reborn
-		p.Takes = func(task string) time.Duration {
+		p.ReuseIDs = reborn
+		p.TaskDuration = func(task string) time.Duration {
 			return 300*time.Millisecond + time.Duration(task[15])*30*time.Millisecond
 		}
 	})
@@ -167,11 +167,11 @@
 		case 6:
 			d.platform.SetFaults(nil)
 		case 7:
-			d.platform.Store.Forget()
+			d.platform.Store.DropHistory()
 		case 8:
 			machine := fmt.Sprintf("m%d", r.IntN(4))
 			d.platform.Crash(machine)
-			d.platform.Revive(machine)
+			d.platform.Restart(machine)
 		}
 		time.Sleep(time.Duration(r.IntN(1200)) * time.Millisecond)
 	}
--- a/entry/node.go
+++ b/entry/node.go
@@ -183,7 +183,7 @@
 		Listener: peers, Dial: n.Dial, Events: n.Events, Serve: n.serveStream,
 	}
 	if n.Clock != nil {
-		n.Clock.Woke = n.onResume
+		n.Clock.OnResume = n.onResume
 	}
 	n.scheduler = &pool.Scheduler{
 		Clock: n.Clock,
--- a/entry/node_test.go
+++ b/entry/node_test.go
@@ -60,7 +60,7 @@
 	d := &deployment{c: c, network: new(memnet.Network)}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.ctx = ctx
-	d.platform = &platformtest.Platform{Listen: d.network.Listen, Lease: testLease, Off: "spare"}
+	d.platform = &platformtest.Platform{Listen: d.network.Listen, Lease: testLease, OffPool: "spare"}
 	if change != nil {
 		change(d.platform)
 	}
@@ -251,14 +251,14 @@
 
 func TestACancelledJobStopsAndStaysCancelled(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deploy(c, 2, 2, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 0 } })
+		d := deploy(c, 2, 2, func(p *platformtest.Platform) { p.TaskDuration = func(string) time.Duration { return 0 } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 2, Cpu: 500, MemMb: 100, Daemon: true, MayMiss: 1}), quicktest.Equals, 200)
 		time.Sleep(time.Second)
 		status, _ := d.call(1, http.MethodDelete, "00000000000000a1", nil)
 		c.Assert(status, quicktest.Equals, 200)
 		d.await(0, "00000000000000a1", "cancelled", 2*time.Second)
 		for _, r := range d.platform.Runs() {
-			c.Assert(r.How, quicktest.Equals, "stopped")
+			c.Assert(r.Outcome, quicktest.Equals, "stopped")
 		}
 		status, _ = d.call(1, http.MethodDelete, "00000000000000b2", nil)
 		c.Assert(status, quicktest.Equals, 410)
@@ -268,7 +268,7 @@
 // The leader stops while tasks are running. The next leader must neither lose a job nor run a task a second time.
 func TestALostLeaderLosesAndDoublesNothing(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deploy(c, 3, 3, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 4 * time.Second } })
+		d := deploy(c, 3, 3, func(p *platformtest.Platform) { p.TaskDuration = func(string) time.Duration { return 4 * time.Second } })
 		for i := range 6 {
 			c.Assert(d.submit(i%3, fmt.Sprintf("%016x", i), step{Count: 3, Cpu: 1000, MemMb: 100}), quicktest.Equals, 200)
 		}
@@ -305,7 +305,9 @@
 // While the store fails for longer than a lease, jobs must be refused quickly, and running tasks must go on without being run again.
 func TestWithoutTheStoreJobsAreRefusedAndRunsGoOn(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deploy(c, 2, 2, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 20 * time.Second } })
+		d := deploy(c, 2, 2, func(p *platformtest.Platform) {
+			p.TaskDuration = func(string) time.Duration { return 20 * time.Second }
+		})
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 2, Cpu: 500, MemMb: 100}), quicktest.Equals, 200)
 		time.Sleep(time.Second)
 		d.platform.SetFaults(func(address, _ string) platformtest.Fault {
@@ -338,7 +340,7 @@
 				return platformtest.None
 			}
 			n++
-			return [...]platformtest.Fault{platformtest.Late, platformtest.Lost, platformtest.Silent, platformtest.None}[n%4]
+			return [...]platformtest.Fault{platformtest.Delay, platformtest.DropReply, platformtest.Ignore, platformtest.None}[n%4]
 		})
 		for i := range 4 {
 			c.Assert(d.submit(0, fmt.Sprintf("%016x", i), step{Count: 3, Cpu: 500, MemMb: 100}), quicktest.Equals, 200)
@@ -360,14 +362,14 @@
 func testWorkerCrash(t *testing.T, reborn bool) {
 	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 2, 3, func(p *platformtest.Platform) {
-			p.Reborn = reborn
-			p.Takes = func(string) time.Duration { return 3 * time.Second }
+			p.ReuseIDs = reborn
+			p.TaskDuration = func(string) time.Duration { return 3 * time.Second }
 		})
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 9, Cpu: 1000, MemMb: 100}), quicktest.Equals, 200)
 		time.Sleep(time.Second)
-		machine := d.platform.MachineOf(d.platform.Runs()[0].Incarnation)
+		machine := d.platform.MachineOf(d.platform.Runs()[0].WorkerID)
 		d.platform.Crash(machine)
-		d.platform.Revive(machine)
+		d.platform.Restart(machine)
 		d.await(0, "00000000000000a1", "succeeded", 25*time.Second)
 		d.checkHistory()
 	})
@@ -375,7 +377,7 @@
 
 func TestAJobThatAlwaysFailsFailsAfterItsAttempts(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deploy(c, 2, 3, func(p *platformtest.Platform) { p.Fails = func(string, string) bool { return true } })
+		d := deploy(c, 2, 3, func(p *platformtest.Platform) { p.RunFails = func(string, string) bool { return true } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 1, Cpu: 1000, MemMb: 100}), quicktest.Equals, 200)
 		d.await(0, "00000000000000a1", "failed", 10*time.Second)
 		c.Assert(d.platform.Runs(), quicktest.HasLen, 3)
@@ -384,7 +386,7 @@
 
 func TestAWaveMaintainsEveryInstanceAndSparesWhatLasts(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deploy(c, 2, 4, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 0 } })
+		d := deploy(c, 2, 4, func(p *platformtest.Platform) { p.TaskDuration = func(string) time.Duration { return 0 } })
 		c.Assert(d.submit(0, "00000000000000a1", step{Count: 3, Cpu: 1000, MemMb: 100, Daemon: true, MayMiss: 1}), quicktest.Equals, 200)
 		time.Sleep(2 * time.Second)
 		d.platform.RequestWave(7, []string{"m0", "m1", "m2", "m3"}, 2)
@@ -398,8 +400,8 @@
 		time.Sleep(4 * time.Second)
 		running := 0
 		for _, r := range d.platform.Runs() {
-			c.Assert(r.How == "" || r.How == "stopped", quicktest.IsTrue, quicktest.Commentf("%+v", r)) // no run ended with its instance
-			if r.To.IsZero() {
+			c.Assert(r.Outcome == "" || r.Outcome == "stopped", quicktest.IsTrue, quicktest.Commentf("%+v", r)) // no run ended with its instance
+			if r.End.IsZero() {
 				running++
 			}
 		}
@@ -415,7 +417,7 @@
 	withFakeTime(t, func(c *quicktest.C) {
 		d := deploy(c, 3, 6, func(p *platformtest.Platform) {
 			p.ZoneOf = func(machine string) string { return map[bool]string{true: "east", false: "west"}[machine[1]%2 == 0] }
-			p.Takes = func(task string) time.Duration {
+			p.TaskDuration = func(task string) time.Duration {
 				if strings.HasPrefix(task, "00000000000000ff") {
 					return 0
 				}
@@ -432,7 +434,7 @@
 		}
 		startedIn := func(zone string, from, to time.Time) (n int) {
 			for _, r := range d.platform.Runs() {
-				if r.Zone == zone && r.From.After(from) && r.From.Before(to) {
+				if r.Zone == zone && r.Start.After(from) && r.Start.Before(to) {
 					n++
 				}
 			}
@@ -443,7 +445,7 @@
 		d.platform.Drain("east", true)
 		drained := time.Now().Add(500 * time.Millisecond)
 		load(3 * time.Second)
-		d.platform.Store.Forget()
+		d.platform.Store.DropHistory()
 		stopped := d.leader()
 		d.nodes[stopped].cancel()
 		<-d.nodes[stopped].ended
@@ -454,7 +456,7 @@
 		c.Check(startedIn("east", drained, back), quicktest.Equals, 0)
 		c.Check(startedIn("west", drained, back) > 0, quicktest.IsTrue)
 		for _, r := range d.platform.Runs() {
-			c.Check(r.Zone == "east" && r.To.IsZero(), quicktest.IsFalse, quicktest.Commentf("the drained data centre still runs %+v", r))
+			c.Check(r.Zone == "east" && r.End.IsZero(), quicktest.IsFalse, quicktest.Commentf("the drained data centre still runs %+v", r))
 		}
 		d.platform.Drain("east", false)
 		time.Sleep(time.Second)
@@ -474,7 +476,7 @@
 		for i := range 30 {
 			c.Assert(d.submit(i%2, fmt.Sprintf("%016x", i), step{Count: 1, Cpu: 100, MemMb: 10}), quicktest.Equals, 200)
 			if i%10 == 5 {
-				d.platform.Store.Forget()
+				d.platform.Store.DropHistory()
 			}
 		}
 		for i := range 30 {
@@ -496,7 +498,7 @@
 		c.Assert(ready(), quicktest.IsTrue)
 		d.platform.SetFaults(func(address, _ string) platformtest.Fault {
 			if address == platformtest.StoreAddress {
-				return platformtest.Silent
+				return platformtest.Ignore
 			}
 			return platformtest.None
 		})
--- a/entry/organisations_test.go
+++ b/entry/organisations_test.go
@@ -49,7 +49,7 @@
 // deployKeyed starts a deployment with two organisations whose queue requires keys.
 func deployKeyed(c *quicktest.C, nodes, workers int, change func(p *platformtest.Platform)) *deployment {
 	d := deploy(c, 0, workers, change)
-	d.rules = []string{platformtest.Keyed}
+	d.rules = []string{platformtest.TenantsContract}
 	d.publish(2, bothOrganisations()...)
 	for i := range nodes {
 		d.nodes = append(d.nodes, d.start(i))
@@ -141,7 +141,7 @@
 // Before keys were checked, jobs that were submitted half a minute after the withdrawal still ran, up to 620 times a day.
 func TestAWithdrawnKeyIsRefusedOnAnOpenConnectionAndItsJobsGoOn(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deployKeyed(c, 2, 2, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 6 * time.Second } })
+		d := deployKeyed(c, 2, 2, func(p *platformtest.Platform) { p.TaskDuration = func(string) time.Duration { return 6 * time.Second } })
 		keepAlive := &http.Client{Transport: &http.Transport{DialContext: d.network.Dial, MaxConnsPerHost: 1}}
 		defer keepAlive.CloseIdleConnections()
 		getStatus := func(key string) int {
@@ -198,7 +198,7 @@
 // the leader. A job that it submits with the same ID is a separate job.
 func TestAnotherOrganisationsJobIsUnknown(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deployKeyed(c, 3, 3, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 8 * time.Second } })
+		d := deployKeyed(c, 3, 3, func(p *platformtest.Platform) { p.TaskDuration = func(string) time.Duration { return 8 * time.Second } })
 		c.Assert(d.status(0, http.MethodPost, jobA, keyA, shortStep), quicktest.Equals, 200)
 		time.Sleep(time.Second)
 		c.Assert(d.status(1, http.MethodGet, jobA, keyB), quicktest.Equals, 410)
@@ -215,7 +215,7 @@
 		d.awaitFor((stopped+2)%3, jobA, keyB, "failed", time.Second)
 		runs := d.platform.Runs()
 		c.Assert(runs, quicktest.HasLen, 1)
-		c.Assert(runs[0].How, quicktest.Equals, "done")
+		c.Assert(runs[0].Outcome, quicktest.Equals, "done")
 	})
 }
 
@@ -270,7 +270,7 @@
 				fmt.Fprintf(&output, "%+v\n", e)
 			}
 		}
-		d.platform.Store.Each(func(topic, key string, value []byte) {
+		d.platform.Store.ForEach(func(topic, key string, value []byte) {
 			if !strings.HasPrefix(topic, "keyed.op/") {
 				fmt.Fprintf(&output, "%s %s %s\n", topic, key, value)
 			}
@@ -286,7 +286,7 @@
 // recomputed from the history of the workers' runs, must never exceed the cap.
 func TestACapHoldsOverTakeovers(t *testing.T) {
 	withFakeTime(t, func(c *quicktest.C) {
-		d := deployKeyed(c, 3, 6, func(p *platformtest.Platform) { p.Takes = func(string) time.Duration { return 3 * time.Second } })
+		d := deployKeyed(c, 3, 6, func(p *platformtest.Platform) { p.TaskDuration = func(string) time.Duration { return 3 * time.Second } })
 		publishCap := func(version, cpu int) {
 			d.publish(version, organisation{Name: "org-a", Keys: []string{keyA}, Weight: 10, Cap: map[string]int{"Cpu": cpu}}, bothOrganisations()[1])
 		}
@@ -315,11 +315,11 @@
 				continue
 			}
 			concurrent, limit := 0, 5
-			if x.From.After(lowered) {
+			if x.Start.After(lowered) {
 				limit = 3
 			}
 			for _, o := range d.platform.Runs() {
-				if !strings.HasPrefix(o.Task, "00000000000000b2") && !o.From.After(x.From) && o.To.After(x.From) {
+				if !strings.HasPrefix(o.Task, "00000000000000b2") && !o.Start.After(x.Start) && o.End.After(x.Start) {
 					concurrent++
 				}
 			}
--- a/feed/clock.go
+++ b/feed/clock.go
@@ -27,7 +27,7 @@
 
 // Now returns the platform's estimated time, or the local time before the first response.
 func (c *Clock) Now() time.Time {
-	now := c.Local.Sure()
+	now := c.Local.ExactNow()
 	if r := c.latest.Load(); r != nil {
 		return r.serverTime.Add(now.Sub(r.localTime))
 	}
@@ -42,5 +42,5 @@
 	if err != nil {
 		return
 	}
-	c.latest.Store(&dateSample{serverTime: serverTime, localTime: c.Local.Sure()})
+	c.latest.Store(&dateSample{serverTime: serverTime, localTime: c.Local.ExactNow()})
 }
--- a/intake/writer.go
+++ b/intake/writer.go
@@ -68,7 +68,7 @@
 //
 // While the store fails and a batch is being retried, further records are refused immediately without being sent.
 func (w *Writer) Write(ctx context.Context, r feed.KeyedRecord) (end int64, attempts int, err error) {
-	p := &pendingWrite{record: r, ctx: ctx, start: w.Clock.Sure(), done: make(chan writeResult, 1)}
+	p := &pendingWrite{record: r, ctx: ctx, start: w.Clock.ExactNow(), done: make(chan writeResult, 1)}
 	if d, ok := ctx.Deadline(); ok {
 		p.clientTimeout, p.bounded = time.Until(d), true
 	}
@@ -126,7 +126,7 @@
 
 // nextBatch returns the records to retry, followed by records from the queue.
 func (w *Writer) nextBatch(retry []*pendingWrite) []*pendingWrite {
-	now := w.Clock.Sure()
+	now := w.Clock.ExactNow()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue = slices.DeleteFunc(w.queue, func(p *pendingWrite) bool { return p.rejectIfExpired(now) })
@@ -215,7 +215,7 @@
 		delay = silentRetryDelay
 	}
 	var retry []*pendingWrite
-	now := w.Clock.Sure()
+	now := w.Clock.ExactNow()
 	for _, p := range batch {
 		p.uncertain = p.uncertain || silent
 		if p.shouldGiveUp(delay, now) {
--- a/intake/writer_test.go
+++ b/intake/writer_test.go
@@ -190,8 +190,8 @@
 		c := quicktest.New(t)
 		base, suspended := time.Now(), time.Duration(0)
 		w, sizes := newTestWriter(100*time.Millisecond, func(int) error { return nil })
-		w.Clock = &clock.Clock{Boot: func() time.Duration { return time.Since(base) + suspended }}
-		w.Clock.Sure()
+		w.Clock = &clock.Clock{BootTime: func() time.Duration { return time.Since(base) + suspended }}
+		w.Clock.ExactNow()
 		go func() { _, _, _ = write(w, "a") }() // its result is not checked
 		time.Sleep(10 * time.Millisecond)
 		late := make(chan error, 1)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,12 +17,12 @@
 // The fields must be set before the first use.
 type Clock struct {
 	// Monotonic returns the monotonic time; time.Now when nil.
-	Steady func() time.Time
+	Monotonic func() time.Time
 	// BootTime returns the time since a fixed moment on a clock that also advances while the machine is suspended; no suspension is
 	// detected when nil.
-	Boot func() time.Duration
+	BootTime func() time.Duration
 	// OnResume is called with the length of a suspension, on the goroutine that detects it; may be nil.
-	Woke func(suspended time.Duration)
+	OnResume func(suspended time.Duration)
 
 	baseline  atomic.Pointer[baseline]
 	suspended atomic.Int64
@@ -36,8 +36,8 @@
 
 // New returns the clock of this machine. It counts suspensions from the call on.
 func New() *Clock {
-	c := &Clock{Boot: bootTime}
-	c.Sure() // takes the baseline
+	c := &Clock{BootTime: bootTime}
+	c.ExactNow() // takes the baseline
 	return c
 }
 
@@ -53,11 +53,11 @@
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
 // ExactNow returns the time including all suspensions that ended before the call.
-func (c *Clock) Sure() time.Time {
-	if c == nil || c.Boot == nil {
+func (c *Clock) ExactNow() time.Time {
+	if c == nil || c.BootTime == nil {
 		return c.Now()
 	}
-	b := c.Boot()
+	b := c.BootTime()
 	now := c.monotonicNow() // read second, so that a pause between the two readings doesn't count as a suspension (one within the baseline does)
 	first := c.baseline.Load()
 	if first == nil {
@@ -77,8 +77,8 @@
 			return
 		}
 		if c.suspended.CompareAndSwap(counted, int64(ahead)) {
-			if c.Woke != nil {
-				c.Woke(added)
+			if c.OnResume != nil {
+				c.OnResume(added)
 			}
 			return
 		}
@@ -86,8 +86,8 @@
 }
 
 func (c *Clock) monotonicNow() time.Time {
-	if c.Steady == nil {
+	if c.Monotonic == nil {
 		return time.Now()
 	}
-	return c.Steady()
+	return c.Monotonic()
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,8 +17,8 @@
 }
 
 func (m *machine) clock() *Clock {
-	c := &Clock{Steady: func() time.Time { return m.monotonic }, Boot: func() time.Duration { return m.bootTime }, Woke: func(d time.Duration) { m.resumed = append(m.resumed, d) }}
-	c.Sure()
+	c := &Clock{Monotonic: func() time.Time { return m.monotonic }, BootTime: func() time.Duration { return m.bootTime }, OnResume: func(d time.Duration) { m.resumed = append(m.resumed, d) }}
+	c.ExactNow()
 	return c
 }
 
@@ -30,7 +30,7 @@
 
 // A suspension must enter Now after ExactNow has detected it, exactly once, and OnResume must report it once: a suspension that is missed lets an
 // expired proof pass for valid, and one that is counted twice expires valid ones.
-func TestASuspensionCountsOnceItIsNoticed(t *testing.T) {
+func TestSuspensionCountsOnceWhenDetected(t *testing.T) {
 	c := quicktest.New(t)
 	m := &machine{monotonic: time.Unix(1000, 0), bootTime: time.Hour}
 	x := m.clock()
@@ -39,48 +39,48 @@
 	c.Assert(x.Since(start), quicktest.Equals, time.Second)
 	m.suspend(10 * time.Second)
 	c.Assert(x.Since(start), quicktest.Equals, time.Second) // not detected before ExactNow
-	c.Assert(x.Sure().Sub(start), quicktest.Equals, 11*time.Second)
+	c.Assert(x.ExactNow().Sub(start), quicktest.Equals, 11*time.Second)
 	c.Assert(x.Since(start), quicktest.Equals, 11*time.Second)
 	m.advance(time.Second)
 	m.suspend(300 * time.Millisecond)
-	c.Assert(x.Sure().Sub(start), quicktest.Equals, 12300*time.Millisecond)
-	c.Assert(x.Sure().Sub(start), quicktest.Equals, 12300*time.Millisecond)
+	c.Assert(x.ExactNow().Sub(start), quicktest.Equals, 12300*time.Millisecond)
+	c.Assert(x.ExactNow().Sub(start), quicktest.Equals, 12300*time.Millisecond)
 	c.Assert(m.resumed, quicktest.DeepEquals, []time.Duration{10 * time.Second, 300 * time.Millisecond})
 }
 
 // Clocks whose rates differ slightly, or a boot clock that goes back, must not be taken for a suspension.
-func TestClocksThatDifferALittleAreNoSuspension(t *testing.T) {
+func TestSmallDriftIsNoSuspension(t *testing.T) {
 	c := quicktest.New(t)
 	m := &machine{monotonic: time.Unix(1000, 0)}
 	x := m.clock()
 	for range 100 {
 		m.advance(time.Second)
 		m.bootTime += 10 * time.Microsecond // the clocks' rates differ
-		x.Sure()
+		x.ExactNow()
 	}
 	c.Assert(m.resumed, quicktest.HasLen, 0)
 	m.bootTime -= time.Second // a boot clock that goes back is no suspension either
 	before := x.Now()
-	c.Assert(x.Sure(), quicktest.Equals, before)
+	c.Assert(x.ExactNow(), quicktest.Equals, before)
 }
 
 // A nil Clock, the zero value, and the real clock without a suspension must follow time.Now, so that callers need no special case.
-func TestAClockWithoutASystemBehindItIsTheSteadyOne(t *testing.T) {
+func TestNilAndZeroClocksFollowTimeNow(t *testing.T) {
 	c := quicktest.New(t)
 	var none *Clock
 	before := none.Now()
-	c.Assert(none.Sure().Before(before), quicktest.IsFalse)
+	c.Assert(none.ExactNow().Before(before), quicktest.IsFalse)
 	var zero Clock
-	c.Assert(zero.Sure().Before(before), quicktest.IsFalse)
+	c.Assert(zero.ExactNow().Before(before), quicktest.IsFalse)
 	system := New()
-	c.Assert(system.Sure().Sub(before) < time.Minute, quicktest.IsTrue)
+	c.Assert(system.ExactNow().Sub(before) < time.Minute, quicktest.IsTrue)
 }
 
-// BenchmarkSure measures ExactNow, which makes a system call; Now costs as much as time.Now.
-func BenchmarkSure(b *testing.B) {
+// BenchmarkExactNow measures ExactNow, which makes a system call; Now costs as much as time.Now.
+func BenchmarkExactNow(b *testing.B) {
 	c := New()
 	for b.Loop() {
-		c.Sure()
+		c.ExactNow()
 	}
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -108,11 +108,11 @@
 	s := &harness{c: c, program: program, dir: c.TempDir(), random: rand.New(rand.NewPCG(seed, 7))}
 	ctx, cancel := context.WithCancel(context.Background())
 	s.platform = &platformtest.Platform{
-		Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }, At: loopback, Off: "spare", Lease: 6 * time.Second, Reborn: seed%2 == 1,
-		Takes: func(task string) time.Duration {
+		Listen: func(a string) (net.Listener, error) { return net.Listen("tcp", a) }, MapAddress: loopback, OffPool: "spare", Lease: 6 * time.Second, ReuseIDs: seed%2 == 1,
+		TaskDuration: func(task string) time.Duration {
 			return 200*time.Millisecond + time.Duration(task[15]%16)*60*time.Millisecond
 		},
-		Crashes: func(task string) time.Duration {
+		CrashDelay: func(task string) time.Duration {
 			if id, rest, _ := strings.Cut(task, "."); !crashesWorker(id) || rest != "0.0.0" {
 				return 0
 			}
@@ -230,7 +230,7 @@
 Bounds: {ConfigApplyMs: 3000, MaxSkewMs: 3000, HoldMaxMs: 6000, StopMs: 400, GraceS: 4.0, status_s: 120, NoticeMs: 4500, HarmMs: 4000, MoveS: 1.5, UpkeepS: 2}
 platform: {Address: "%s:18470", parts: 2}
 CloudApi: {Address: %q}
-`, i, p.ip, p.ip, p.ip, platformtest.Keyed, p.ip, loopback(platformtest.MachinesAddress))
+`, i, p.ip, p.ip, p.ip, platformtest.TenantsContract, p.ip, loopback(platformtest.MachinesAddress))
 	s.c.Assert(os.WriteFile(p.settings, []byte(text), 0o600), quicktest.IsNil)
 	s.entries[i] = p
 }
@@ -296,7 +296,7 @@
 	case 6:
 		calls := platformtest.Calls()
 		call, percent := calls[s.random.IntN(len(calls))], s.random.IntN(60)
-		fault := [...]platformtest.Fault{platformtest.Refuse, platformtest.Silent, platformtest.Lost, platformtest.Late}[s.random.IntN(4)]
+		fault := [...]platformtest.Fault{platformtest.Refuse, platformtest.Ignore, platformtest.DropReply, platformtest.Delay}[s.random.IntN(4)]
 		random := rand.New(rand.NewPCG(s.random.Uint64(), 1))
 		s.platform.SetFaults(func(_, path string) platformtest.Fault {
 			if path == call && random.IntN(100) < percent {
@@ -307,9 +307,9 @@
 	case 7:
 		machine := fmt.Sprint("m", s.random.IntN(workers))
 		s.platform.Crash(machine)
-		s.platform.Revive(machine)
+		s.platform.Restart(machine)
 	case 8:
-		s.platform.Store.Forget()
+		s.platform.Store.DropHistory()
 	case 9:
 		s.publish()
 	default:
@@ -380,7 +380,7 @@
 		}
 		ask := func() (int, string) { return s.request(h, n%entries, keyForJob(id), http.MethodGet, id, "") }
 		for status, last := ask(); !strings.Contains(last, want); status, last = ask() {
-			if strings.Contains(last, `"failed"`) && s.platform.IncarnationsEndedUnder(id) >= job.LossLimitConclusive {
+			if strings.Contains(last, `"failed"`) && s.platform.MaxWorkersLost(id) >= job.LossLimitConclusive {
 				s.c.Logf("seed %d: job %s failed because workers crashed under it that also ran a crashing task", seed, id)
 				break
 			}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -13,11 +13,11 @@
 	// LogDelay delays every append.
 	LogDelay time.Duration
 	// DropAppendReplyEvery closes the connection without a reply after every n-th append took effect; never when 0.
-	LoseEvery int `json:"LoseEvery"`
+	DropAppendReplyEvery int `json:"LoseEvery"`
 	// DuplicateEvery adds the records of every n-th append twice; never when 0.
-	TwiceEvery int `json:"TwiceEvery"`
+	DuplicateEvery int `json:"TwiceEvery"`
 	// RetainedRecords is the number of records that a log retains; all when 0.
-	Keep int `json:"Keep"`
+	RetainedRecords int `json:"Keep"`
 	// ListLag is the age of the instance list that is served.
 	ListLag time.Duration
 	// ListDown refuses reads of the instance list.
@@ -25,7 +25,7 @@
 	// CommandsDown refuses commands and tasks.
 	CommandsDown bool
 	// DropCommandReplyEvery closes the connection without a reply after every n-th command or task call took effect; never when 0.
-	LoseCommands int `json:"LoseCommands"`
+	DropCommandReplyEvery int `json:"LoseCommands"`
 }
 
 // SetFaults replaces the faults.
@@ -34,7 +34,7 @@
 	defer p.mu.Unlock()
 	p.faults = f
 	for _, l := range p.logs {
-		l.trim(f.Keep)
+		l.trim(f.RetainedRecords)
 	}
 	p.notifyReaders()
 }
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -117,12 +117,12 @@
 	p.appends++
 	offset = l.next()
 	l.add(records)
-	if n := p.faults.TwiceEvery; n > 0 && p.appends%n == 0 {
+	if n := p.faults.DuplicateEvery; n > 0 && p.appends%n == 0 {
 		l.add(records)
 	}
-	l.trim(p.faults.Keep)
+	l.trim(p.faults.RetainedRecords)
 	p.notifyReaders()
-	return offset, p.faults.LoseEvery > 0 && p.appends%p.faults.LoseEvery == 0
+	return offset, p.faults.DropAppendReplyEvery > 0 && p.appends%p.faults.DropAppendReplyEvery == 0
 }
 
 const (
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -23,7 +23,7 @@
 	// Intercept is called before and after each modifying call takes effect; it may be nil.
 	//
 	// Returning true before the effect refuses the call; returning true after it drops the reply.
-	Probe func(call Call, after bool) bool
+	Intercept func(call Call, after bool) bool
 
 	mu            sync.Mutex
 	faults        Faults
@@ -52,7 +52,9 @@
 	Instance string
 }
 
-func (p *Platform) intercept(c Call, after bool) bool { return p.Probe != nil && p.Probe(c, after) }
+func (p *Platform) intercept(c Call, after bool) bool {
+	return p.Intercept != nil && p.Intercept(c, after)
+}
 
 // machine is one listed instance.
 type machine struct {
@@ -144,7 +146,7 @@
 }
 
 // Interruptions describes each task or request that a command interrupted, which must never happen.
-func (p *Platform) Cuts() []string {
+func (p *Platform) Interruptions() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.interruptions...)
@@ -168,7 +170,7 @@
 }
 
 // DropListHistory discards older instance lists, so that ListLag can't show a list from before the call.
-func (p *Platform) Settle() {
+func (p *Platform) DropListHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := len(p.history); n > 0 {
--- a/internal/standin/platformtest/organisations.go
+++ b/internal/standin/platformtest/organisations.go
@@ -3,7 +3,7 @@
 package platformtest
 
 // TenantsContract is the entry of Contracts in a settings file that makes calls require API keys.
-const Keyed = "tenants"
+const TenantsContract = "tenants"
 
 // Organisation is an organisation of a configuration, with its keys in plain text. Cap is keyed by the platform's resource names.
 type Organisation struct {
--- a/internal/standin/platformtest/platform.go
+++ b/internal/standin/platformtest/platform.go
@@ -39,11 +39,11 @@
 	// Refuse replies with status 503 and doesn't execute the call.
 	Refuse
 	// Ignore neither executes the call nor replies.
-	Silent
+	Ignore
 	// DropReply executes the call and doesn't reply.
-	Lost
+	DropReply
 	// Delay doesn't reply, and executes the call after lateDelay.
-	Late
+	Delay
 )
 
 // Platform is the fake platform. The exported fields must be set before Start.
@@ -51,21 +51,21 @@
 	// Listen listens on an address of the network.
 	Listen func(address string) (net.Listener, error)
 	// MapAddress returns the address to use in place of one of the platform's; addresses stay as they are when nil.
-	At func(address string) string
+	MapAddress func(address string) string
 	// Lease is the maximum duration of a worker's lease; 10 s when 0.
 	Lease time.Duration
 	// OffPool is the pool whose instances are switched off and have no workers.
-	Off string
+	OffPool string
 	// TaskDuration returns how long a task runs, 0 for one that doesn't end by itself; one second when nil.
-	Takes func(task string) time.Duration
+	TaskDuration func(task string) time.Duration
 	// RunFails reports whether a run that has ended by itself has failed; none has when nil.
-	Fails func(task, incarnation string) bool
+	RunFails func(task, incarnation string) bool
 	// CrashDelay returns the time from the start of a task until it crashes its worker, 0 for a task that doesn't; none does when nil. The instance
 	// restarts after crashRecoveryDelay and maintenanceTime.
-	Crashes func(task string) time.Duration
+	CrashDelay func(task string) time.Duration
 	// ReuseIDs makes workers report incarnations, and makes a crashed worker restart with its ID and address. Each incarnation number is lower
 	// than the one before, as if the clock had been set back.
-	Reborn bool
+	ReuseIDs bool
 
 	// ZoneOf returns the data centre of an instance; all are in the same one when nil.
 	ZoneOf func(machine string) string
@@ -89,16 +89,16 @@
 func (p *Platform) Start(ctx context.Context) error {
 	p.ctx = ctx
 	p.workers, p.maintained, p.down, p.fences = make(map[string]*Worker), make(map[string]bool), make(map[string]bool), make(map[string]int64)
-	if p.Takes == nil {
-		p.Takes = func(string) time.Duration { return time.Second }
+	if p.TaskDuration == nil {
+		p.TaskDuration = func(string) time.Duration { return time.Second }
 	}
-	if p.At == nil {
-		p.At = func(address string) string { return address }
+	if p.MapAddress == nil {
+		p.MapAddress = func(address string) string { return address }
 	}
-	if _, err := p.serve(p.At(StoreAddress), &p.Store); err != nil {
+	if _, err := p.serve(p.MapAddress(StoreAddress), &p.Store); err != nil {
 		return err
 	}
-	if _, err := p.serve(p.At(MachinesAddress), http.HandlerFunc(p.serveMachines)); err != nil {
+	if _, err := p.serve(p.MapAddress(MachinesAddress), http.HandlerFunc(p.serveMachines)); err != nil {
 		return err
 	}
 	p.background.Go(p.runHeartbeats)
@@ -169,9 +169,9 @@
 		case Refuse:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case Lost:
+		case DropReply:
 			serveDiscarding(h, r)
-		case Late:
+		case Delay:
 			late := r.Clone(context.WithoutCancel(r.Context()))
 			body := new(strings.Builder)
 			buf := make([]byte, 64<<10)
@@ -197,7 +197,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.workers {
-		if w.Address == address && w.Incarnation != "" {
+		if w.Address == address && w.ID != "" {
 			return w
 		}
 	}
@@ -270,19 +270,19 @@
 	p.mu.Lock()
 	p.workerCount++
 	w := &Worker{
-		Incarnation: fmt.Sprintf("i-%04d", p.workerCount), Machine: machine, Pool: pool, Address: p.At(fmt.Sprintf("10.100.%d.%d:80", p.workerCount/250, p.workerCount%250+1)),
+		ID: fmt.Sprintf("i-%04d", p.workerCount), Machine: machine, Pool: pool, Address: p.MapAddress(fmt.Sprintf("10.100.%d.%d:80", p.workerCount/250, p.workerCount%250+1)),
 		MilliCPU: milliCPU, MemoryMB: memoryMB, platform: p, startedAt: time.Now(), ended: make(chan struct{}), stopped: make(map[string]int64),
 	}
-	if p.Reborn {
+	if p.ReuseIDs {
 		w.BootID = time.Now().UnixMilli() - int64(p.workerCount)*time.Hour.Milliseconds()
 	}
 	if before != nil {
-		w.Incarnation, w.Address = before.Incarnation, before.Address
+		w.ID, w.Address = before.ID, before.Address
 	}
 	p.workers[machine] = w
-	off := pool == p.Off
+	off := pool == p.OffPool
 	if off {
-		w.Incarnation, w.dead = "", true
+		w.ID, w.dead = "", true
 	}
 	p.mu.Unlock()
 	if off {
@@ -307,17 +307,17 @@
 	s := w.server
 	p.mu.Unlock()
 	w.kill()
-	if p.Reborn && s != nil {
+	if p.ReuseIDs && s != nil {
 		_ = s.Close() // connections break and are refused until the restart
 	}
 }
 
 // MaxWorkersLost returns the maximum, over the tasks of a job, of the number of workers that crashed while they ran the task, by the workers' own
 // history. From two on, the users' rules let the job fail, because a task that runs beside a crashing one can't be told from it.
-func (p *Platform) IncarnationsEndedUnder(job string) int {
+func (p *Platform) MaxWorkersLost(job string) int {
 	most, lost := 0, make(map[string]int)
 	for _, x := range p.Runs() {
-		if strings.HasPrefix(x.Task, job+".") && x.How == "lost" {
+		if strings.HasPrefix(x.Task, job+".") && x.Outcome == "lost" {
 			lost[x.Task]++
 			most = max(most, lost[x.Task])
 		}
@@ -328,7 +328,7 @@
 // crashWorker crashes a worker because of a run, if that is still running, and restarts the instance after crashRecoveryDelay.
 func (p *Platform) crashWorker(x *Run, w *Worker) {
 	w.mu.Lock()
-	running := !w.dead && x.To.IsZero()
+	running := !w.dead && x.End.IsZero()
 	w.mu.Unlock()
 	if !running {
 		return
@@ -337,7 +337,7 @@
 	x.Crashed = true
 	p.mu.Unlock()
 	p.Crash(w.Machine)
-	time.AfterFunc(crashRecoveryDelay, func() { p.Revive(w.Machine) })
+	time.AfterFunc(crashRecoveryDelay, func() { p.Restart(w.Machine) })
 }
 
 // publishWorker writes the worker's record to the store.
@@ -353,7 +353,7 @@
 	}
 	w.addIncarnation(entry)
 	b, _ := json.Marshal(entry)
-	p.Store.Put("keyed.servers", w.Incarnation, b)
+	p.Store.Put("keyed.servers", w.ID, b)
 }
 
 // sortedWorkers returns the workers ordered by ID; the caller holds mu.
@@ -362,7 +362,7 @@
 	for _, w := range p.workers {
 		out = append(out, w)
 	}
-	slices.SortFunc(out, func(a, b *Worker) int { return strings.Compare(a.Incarnation, b.Incarnation) })
+	slices.SortFunc(out, func(a, b *Worker) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
@@ -434,7 +434,7 @@
 		if p.down[x.Machine] {
 			state = "upkeep"
 		}
-		rows = append(rows, map[string]any{"Machine": x.Machine, "Pool": x.Pool, "Zone": p.Zone(x.Machine), "State": state, "Id": x.Incarnation})
+		rows = append(rows, map[string]any{"Machine": x.Machine, "Pool": x.Pool, "Zone": p.Zone(x.Machine), "State": state, "Id": x.ID})
 	}
 	p.mu.Unlock()
 	reply(w, http.StatusOK, map[string]any{"Machines": rows, "NextToken": nil})
@@ -456,10 +456,10 @@
 	if pool == "" {
 		pool = x.Pool
 	}
-	if p.Reborn && crashed {
+	if p.ReuseIDs && crashed {
 		p.addWorker(x, x.Machine, pool, x.MilliCPU, x.MemoryMB)
 	} else {
-		p.Store.Put("keyed.servers", x.Incarnation, nil)
+		p.Store.Put("keyed.servers", x.ID, nil)
 		p.AddWorker(x.Machine, pool, x.MilliCPU, x.MemoryMB)
 	}
 	p.mu.Lock()
@@ -472,7 +472,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for machine, w := range p.workers {
-		if w.Incarnation == incarnation {
+		if w.ID == incarnation {
 			return machine
 		}
 	}
@@ -480,7 +480,7 @@
 }
 
 // Restart restarts a crashed instance after maintenanceTime.
-func (p *Platform) Revive(machine string) {
+func (p *Platform) Restart(machine string) {
 	p.mu.Lock()
 	x := p.workers[machine]
 	p.mu.Unlock()
@@ -528,10 +528,10 @@
 		}
 		for i, a := range runs {
 			for _, b := range runs[i+1:] {
-				if b.From.Before(a.To) || a.To.IsZero() {
-					violations = append(violations, fmt.Sprintf("%s: run %d on %s started while run %d on %s was running", task, b.Number, b.Incarnation, a.Number, a.Incarnation))
+				if b.Start.Before(a.End) || a.End.IsZero() {
+					violations = append(violations, fmt.Sprintf("%s: run %d on %s started while run %d on %s was running", task, b.Number, b.WorkerID, a.Number, a.WorkerID))
 				}
-				if a.How == "done" && a.Acked && b.From.After(a.AckedAt) {
+				if a.Outcome == "done" && a.Acked && b.Start.After(a.AckedAt) {
 					violations = append(violations, fmt.Sprintf("%s: run %d started after run %d was done and acknowledged", task, b.Number, a.Number))
 				}
 			}
--- a/internal/standin/platformtest/store.go
+++ b/internal/standin/platformtest/store.go
@@ -76,7 +76,7 @@
 }
 
 // ForEach calls the function with every record of every partition. Records of a partition are in order of their offsets.
-func (s *Store) Each(f func(topic, key string, value []byte)) {
+func (s *Store) ForEach(f func(topic, key string, value []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, t := range s.topics {
@@ -87,7 +87,7 @@
 }
 
 // DropHistory makes older offsets of all topics unreadable; the latest record of each key stays available.
-func (s *Store) Forget() {
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range s.topics {
--- a/internal/standin/platformtest/worker.go
+++ b/internal/standin/platformtest/worker.go
@@ -12,15 +12,15 @@
 
 // Run is a run of a task in the history.
 type Run struct {
-	Task        string
-	Number      int64
-	Incarnation string
+	Task     string
+	Number   int64
+	WorkerID string
 	// Zone is the data centre of its instance.
-	Zone string
-	From time.Time
+	Zone  string
+	Start time.Time
 	// End is zero while it runs; Outcome is the outcome that the worker reports.
-	To  time.Time
-	How string
+	End     time.Time
+	Outcome string
 	// Acked is set once the end was acknowledged, at AckedAt.
 	Acked   bool
 	AckedAt time.Time
@@ -35,9 +35,9 @@
 
 // Worker is a worker from its start to its end. A restart makes a new Worker.
 type Worker struct {
-	Incarnation, Machine, Pool, Address string
-	MilliCPU, MemoryMB                  int
-	// Incarnation distinguishes workers with the same ID; 0 when none is reported.
+	ID, Machine, Pool, Address string
+	MilliCPU, MemoryMB         int
+	// WorkerID distinguishes workers with the same ID; 0 when none is reported.
 	BootID   int64
 	platform *Platform
 	server   *http.Server
@@ -82,9 +82,9 @@
 		reply(rw, http.StatusConflict, map[string]any{"ClockMs": w.clockMillis(), "Reason": reason})
 	}
 	switch {
-	case w.dead && w.platform.Reborn:
+	case w.dead && w.platform.ReuseIDs:
 		panic(http.ErrAbortHandler) // closes the connection
-	case w.dead || r.Header.Get("X-Expect-Instance") != w.Incarnation:
+	case w.dead || r.Header.Get("X-Expect-Instance") != w.ID:
 		reply(rw, http.StatusMisdirectedRequest, nil)
 		return
 	case req.Fence < w.fence:
@@ -115,7 +115,7 @@
 
 func (w *Worker) findRunning(task string, number int64) *Run {
 	for _, x := range w.runs {
-		if x.Task == task && x.Number == number && x.To.IsZero() {
+		if x.Task == task && x.Number == number && x.End.IsZero() {
 			return x
 		}
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	for _, x := range w.runs {
-		if x.Task == task && number <= x.Number && !x.To.IsZero() {
+		if x.Task == task && number <= x.Number && !x.End.IsZero() {
 			refuse("old")
 			return
 		}
@@ -142,17 +142,17 @@
 		refuse("old")
 		return
 	}
-	x := &Run{Task: task, Number: number, Incarnation: w.Incarnation, Zone: w.platform.Zone(w.Machine), From: time.Now(), checkpoint: saved, pace: 100}
+	x := &Run{Task: task, Number: number, WorkerID: w.ID, Zone: w.platform.Zone(w.Machine), Start: time.Now(), checkpoint: saved, pace: 100}
 	w.runs = append(w.runs, x)
 	w.platform.recordRun(x)
-	if w.platform.Crashes != nil && w.platform.Crashes(task) > 0 {
-		x.timer = time.AfterFunc(w.platform.Crashes(task), func() { w.platform.crashWorker(x, w) })
-	} else if d := w.platform.Takes(task); d > 0 {
+	if w.platform.CrashDelay != nil && w.platform.CrashDelay(task) > 0 {
+		x.timer = time.AfterFunc(w.platform.CrashDelay(task), func() { w.platform.crashWorker(x, w) })
+	} else if d := w.platform.TaskDuration(task); d > 0 {
 		x.timer = time.AfterFunc(d, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			outcome := "done"
-			if w.platform.Fails != nil && w.platform.Fails(task, w.Incarnation) {
+			if w.platform.RunFails != nil && w.platform.RunFails(task, w.ID) {
 				outcome = "failed"
 			}
 			w.endRun(x, outcome)
@@ -163,7 +163,7 @@
 
 // endRun ends a run and wakes the waiting hold calls; the caller holds w.mu.
 func (w *Worker) endRun(x *Run, outcome string) {
-	if !x.To.IsZero() {
+	if !x.End.IsZero() {
 		return
 	}
 	if x.timer != nil {
@@ -171,7 +171,7 @@
 	}
 	w.lastEnd++
 	w.platform.mu.Lock()
-	x.To, x.How = time.Now(), outcome
+	x.End, x.Outcome = time.Now(), outcome
 	w.platform.mu.Unlock()
 	x.endNumber = w.lastEnd
 	close(w.ended)
@@ -224,10 +224,10 @@
 	running, ends := [][]any{}, [][]any{}
 	for _, x := range w.runs {
 		switch {
-		case x.To.IsZero():
+		case x.End.IsZero():
 			running = append(running, []any{x.Task, x.Number, x.checkpoint, 100})
 		case x.endNumber > w.acked:
-			ends = append(ends, []any{x.endNumber, x.Task, x.Number, x.How, x.checkpoint})
+			ends = append(ends, []any{x.endNumber, x.Task, x.Number, x.Outcome, x.checkpoint})
 		}
 	}
 	slices.SortFunc(ends, func(a, b []any) int { return int(a[0].(int64) - b[0].(int64)) })
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -52,9 +52,9 @@
 	// Peak is the maximum number of concurrent requests, PeakConnections that of open connections.
 	Peak, PeakConnections int
 	// DuringMaintenance counts requests that arrived while the instance was down for planned maintenance, Refused those beyond its slots.
-	Late, Refused int
+	DuringMaintenance, Refused int
 	// RunsByMark counts the runs of each request with a mark.
-	Ran map[string]int
+	RunsByMark map[string]int
 }
 
 // SetFaults replaces the faults.
@@ -91,7 +91,7 @@
 	for mark, n := range t.runsByMark {
 		runs[mark] = n
 	}
-	return Counts{Peak: t.peakInFlight, PeakConnections: t.peakConns, Late: t.duringMaintenance, Refused: t.refused, Ran: runs}
+	return Counts{Peak: t.peakInFlight, PeakConnections: t.peakConns, DuringMaintenance: t.duringMaintenance, Refused: t.refused, RunsByMark: runs}
 }
 
 // Server returns an HTTP server for the target.
--- a/internal/standin/tasks.go
+++ b/internal/standin/tasks.go
@@ -51,7 +51,7 @@
 // caller must release mu in a deferred call.
 func (p *Platform) maybeDropReply() {
 	p.commandCalls++
-	if n := p.faults.LoseCommands; n > 0 && p.commandCalls%n == 0 {
+	if n := p.faults.DropCommandReplyEvery; n > 0 && p.commandCalls%n == 0 {
 		abortConnection()
 	}
 }
--- a/internal/trial/fleet_matrix_test.go
+++ b/internal/trial/fleet_matrix_test.go
@@ -143,11 +143,11 @@
 		}},
 		{"log-down", platform(standin.Faults{LogDown: true})},
 		{"log-slow", platform(standin.Faults{LogDelay: time.Second})},
-		{"log-answers-lost", platform(standin.Faults{LoseEvery: 1})},
-		{"log-duplicates", platform(standin.Faults{TwiceEvery: 1})},
-		{"log-keeps-little", platform(standin.Faults{Keep: 12})},
+		{"log-answers-lost", platform(standin.Faults{DropAppendReplyEvery: 1})},
+		{"log-duplicates", platform(standin.Faults{DuplicateEvery: 1})},
+		{"log-keeps-little", platform(standin.Faults{RetainedRecords: 12})},
 		{"list-stale", platform(standin.Faults{ListLag: 10 * time.Second})},
-		{"commands-lost", platform(standin.Faults{LoseCommands: 1})},
+		{"commands-lost", platform(standin.Faults{DropCommandReplyEvery: 1})},
 		{"instances-die", func(c *fleetCell, _ standin.Call) bool {
 			for _, id := range [...]string{RunnerName(0, 0), WorkerName(0)} {
 				c.site.Platform.SetDown(id, true)
@@ -326,7 +326,7 @@
 	for _, id := range h.RanTwice {
 		out = append(out, "job "+id+" ran twice")
 	}
-	out = append(out, c.site.Platform.Cuts()...)
+	out = append(out, c.site.Platform.Interruptions()...)
 	if !c.injected {
 		out = append(out, "the step was never reached")
 	}
--- a/internal/trial/platform.go
+++ b/internal/trial/platform.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	network := new(memnet.Network)
-	p := &platformtest.Platform{Listen: network.Listen, Off: "spare"}
+	p := &platformtest.Platform{Listen: network.Listen, OffPool: "spare"}
 	if err := p.Start(ctx); err != nil {
 		return err
 	}
--- a/internal/trial/report.go
+++ b/internal/trial/report.go
@@ -37,10 +37,10 @@
 	ran := make(map[string]int)
 	for _, t := range s.Targets {
 		c := t.Counts()
-		for mark, n := range c.Ran {
+		for mark, n := range c.RunsByMark {
 			ran[mark] += n
 		}
-		v.DuringMaintenance += c.Late
+		v.DuringMaintenance += c.DuringMaintenance
 		if c.Refused > 0 {
 			v.OverSlots++
 		}
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -39,11 +39,11 @@
 	return []Fault{
 		{"log-down", "the log rejects every call for 5 s", platform(standin.Faults{LogDown: true}), healthy},
 		{"log-slow", "every append takes 300 ms", platform(standin.Faults{LogDelay: 300 * time.Millisecond}), healthy},
-		{"log-answers-lost", "every third append's answer is lost after its effect", platform(standin.Faults{LoseEvery: 3}), healthy},
-		{"log-duplicates", "every second append is added twice", platform(standin.Faults{TwiceEvery: 2}), healthy},
+		{"log-answers-lost", "every third append's answer is lost after its effect", platform(standin.Faults{DropAppendReplyEvery: 3}), healthy},
+		{"log-duplicates", "every second append is added twice", platform(standin.Faults{DuplicateEvery: 2}), healthy},
 		{"list-lags", "the instance list is 4 s old", platform(standin.Faults{ListLag: 4 * time.Second}), healthy},
 		{"list-down", "the instance list does not answer for 5 s", platform(standin.Faults{ListDown: true}), healthy},
-		{"commands-lost", "every second command's answer is lost after its effect", platform(standin.Faults{LoseCommands: 2}), healthy},
+		{"commands-lost", "every second command's answer is lost after its effect", platform(standin.Faults{DropCommandReplyEvery: 2}), healthy},
 		{"target-fails", "one target fails every request immediately", target(standin.TargetFaults{Fail: true}), target(standin.TargetFaults{})},
 		{"target-truncates", "one target truncates its answers", target(standin.TargetFaults{Truncate: true}), target(standin.TargetFaults{})},
 		{"target-dies", "one target's instance is down for 5 s", func(s *Site) { s.Platform.SetDown(RunnerName(0, 0), true) }, func(s *Site) { s.Platform.SetDown(RunnerName(0, 0), false) }},
@@ -124,7 +124,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	r := Result{Requests: t.site.Evaluate(load.Replies()), History: t.site.Replay(), RollOut: t.rollOut, PlatformViolations: t.site.Platform.Cuts()}
+	r := Result{Requests: t.site.Evaluate(load.Replies()), History: t.site.Replay(), RollOut: t.rollOut, PlatformViolations: t.site.Platform.Interruptions()}
 	r.Violations = r.violations()
 	t.printReport(r)
 	return r, nil
--- a/internal/trial/site.go
+++ b/internal/trial/site.go
@@ -72,7 +72,7 @@
 	}
 	s.http = &http.Client{Transport: s.transport(), Timeout: 20 * time.Second}
 	s.Platform.RebootTime = spec.RebootTime
-	s.Platform.Probe = probe
+	s.Platform.Intercept = probe
 	ln, err := s.serve(s.Platform, nil)
 	if err != nil {
 		return nil, err
@@ -373,7 +373,7 @@
 		return fmt.Errorf("publish: %w", err)
 	}
 	err = s.Await(ctx, func() bool { return s.converged(ctx) })
-	s.Platform.Settle()
+	s.Platform.DropListHistory()
 	return err
 }
 
--- a/internal/trial/site_test.go
+++ b/internal/trial/site_test.go
@@ -76,7 +76,7 @@
 		c.Assert(v.Violations(), quicktest.HasLen, 0)
 		c.Assert(v.NotRun, quicktest.Equals, 0)
 		c.Assert(v.Whole > 100, quicktest.IsTrue)
-		c.Assert(s.Platform.Cuts(), quicktest.HasLen, 0)
+		c.Assert(s.Platform.Interruptions(), quicktest.HasLen, 0)
 	})
 }
 
--- a/lead/elector.go
+++ b/lead/elector.go
@@ -117,7 +117,7 @@
 func (e *Elector) Confirmed() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.Clock.Sure().Sub(e.confirmedAt) < ConfirmedFor
+	return e.Clock.ExactNow().Sub(e.confirmedAt) < ConfirmedFor
 }
 
 // ConfirmedAt returns when the newest renewal that the store accepted was first sent, or the zero time if there is none.
@@ -175,7 +175,7 @@
 	known := false
 	for ctx.Err() == nil {
 		var err error
-		asked := e.Clock.Sure()
+		asked := e.Clock.ExactNow()
 		if !known {
 			err = e.readNewest(ctx)
 			known = err == nil
@@ -235,7 +235,7 @@
 // pauseBeforeRead pauses before the next read if this entry does not need to see each renewal at once. It returns the time since
 // when a renewal may have arrived unread.
 func (e *Elector) pauseBeforeRead(ctx context.Context) time.Time {
-	since := e.Clock.Sure()
+	since := e.Clock.ExactNow()
 	e.mu.Lock()
 	pauses := e.cancelTerm == nil && !e.resigned && e.latest.Term > 0 && !e.latest.Released && e.deferral() > 0 && e.failingSince.IsZero() && e.Clock.Since(e.lastHeard) < renewInterval
 	e.mu.Unlock()
@@ -263,9 +263,9 @@
 func (e *Elector) follow(ctx context.Context) error {
 	since := e.pauseBeforeRead(ctx)
 	wait := e.readWait()
-	asked := e.Clock.Sure()
+	asked := e.Clock.ExactNow()
 	defer func() {
-		if e.Clock.Sure().Sub(asked) > wait+outageThreshold { // this process was stalled, or its calls were
+		if e.Clock.ExactNow().Sub(asked) > wait+outageThreshold { // this process was stalled, or its calls were
 			e.mu.Lock()
 			e.lastOutage = e.Clock.Now()
 			e.mu.Unlock()
@@ -394,7 +394,7 @@
 	// Until the first renewal nothing is known about the earlier leaders, so the record assumes the worst of them.
 	rec := Record{Entry: e.Entry, Address: e.Address, Boot: e.Boot, Weight: max(e.Weight, weight), Term: term, Fence: term<<fenceBits | rand.Int64N(1<<(fenceBits-1)), PredecessorsActive: term > 1, PredecessorsUnstored: term > 1}
 	call, cancel := context.WithTimeout(ctx, callTimeout)
-	sent := e.Clock.Sure()
+	sent := e.Clock.ExactNow()
 	next, err := e.append(call, rec, end, 0)
 	cancel()
 	if err == nil {
@@ -523,7 +523,7 @@
 	e.mu.Lock()
 	r.record.Unstored, r.record.PredecessorsActive, r.record.PredecessorsUnstored = e.unstored, e.predecessorsActive, e.predecessorsUnstored
 	e.mu.Unlock()
-	first := e.Clock.Sure()
+	first := e.Clock.ExactNow()
 	answers := make(chan error, maxRenewalsInFlight)
 	inFlight, timeout := 0, RenewTimeout
 	for ctx.Err() == nil {
--- a/lead/suspend_test.go
+++ b/lead/suspend_test.go
@@ -20,8 +20,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		base, suspended := time.Now(), time.Duration(0)
-		e := &Elector{Entry: "a", Clock: &clock.Clock{Boot: func() time.Duration { return time.Since(base) + suspended }}}
-		e.confirmedAt = e.Clock.Sure()
+		e := &Elector{Entry: "a", Clock: &clock.Clock{BootTime: func() time.Duration { return time.Since(base) + suspended }}}
+		e.confirmedAt = e.Clock.ExactNow()
 		c.Assert(e.Confirmed(), quicktest.IsTrue)
 		suspended = 3 * time.Second
 		c.Assert(e.Confirmed(), quicktest.IsFalse)
--- a/pool/scheduler.go
+++ b/pool/scheduler.go
@@ -164,7 +164,7 @@
 // now returns the time adjusted for the suspensions noticed so far; exactNow checks for a suspension first. Code that
 // is about to act on a proof must use exactNow.
 func (s *Scheduler) now() time.Time      { return s.Clock.Now() }
-func (s *Scheduler) exactNow() time.Time { return s.Clock.Sure() }
+func (s *Scheduler) exactNow() time.Time { return s.Clock.ExactNow() }
 
 // SetBounds puts bounds in force. It must be called before Serve, and again whenever they change.
 func (s *Scheduler) SetBounds(b Bounds) { s.bounds.Store(&b) }
--- a/pool/suspend_test.go
+++ b/pool/suspend_test.go
@@ -45,7 +45,7 @@
 		n = new(suspensions)
 		sim.suspensions[entry] = n
 	}
-	return &clock.Clock{Steady: n.steady, Boot: func() time.Duration { return time.Since(sim.startedAt) }}
+	return &clock.Clock{Monotonic: n.steady, BootTime: func() time.Duration { return time.Since(sim.startedAt) }}
 }
 
 // suspend suspends the machine of an entry.
--- a/pool/suspendedleader_test.go
+++ b/pool/suspendedleader_test.go
@@ -30,8 +30,8 @@
 func newSuspendableLeader(c *quicktest.C, jobs ...*job.Job) *suspendableLeader {
 	a := &suspendableLeader{fixture: newFixture(c, jobs, "w1", "w2", "w3")}
 	base := time.Now()
-	a.Clock = &clock.Clock{Boot: func() time.Duration { return time.Since(base) + a.suspended }}
-	a.Clock.Sure()
+	a.Clock = &clock.Clock{BootTime: func() time.Duration { return time.Since(base) + a.suspended }}
+	a.Clock.ExactNow()
 	confirmed := a.now()
 	a.ConfirmedAt = func() time.Time { return confirmed }
 	a.intakeReadUntil[0] = confirmed
@@ -123,8 +123,8 @@
 		c := quicktest.New(t)
 		a := &suspendableLeader{fixture: newFixture(c, []*job.Job{jobWithTasks(2)}, "w1", "w2", "w3")}
 		base := time.Now()
-		a.Clock = &clock.Clock{Boot: func() time.Duration { return time.Since(base) + a.suspended }}
-		a.Clock.Sure()
+		a.Clock = &clock.Clock{BootTime: func() time.Duration { return time.Since(base) + a.suspended }}
+		a.Clock.ExactNow()
 		a.term.CleanHandover, a.term.Exclusive, a.term.PredecessorRenewed = false, false, a.now()
 		for _, w := range a.workers {
 			w.knownAtTakeover = true
--- a/pool/tables.go
+++ b/pool/tables.go
@@ -156,7 +156,7 @@
 }
 
 func newWorker(w work.Worker, clock *clock.Clock, ledger *org.Ledger) *worker {
-	row := &worker{Worker: w, clock: clock, ledger: ledger, listedSince: clock.Sure(), strayRuns: make(map[int64]time.Time), runs: make(map[*job.Task]*run), listed: true, ackSignal: make(chan struct{}, 1), wake: make(chan struct{}, 1)}
+	row := &worker{Worker: w, clock: clock, ledger: ledger, listedSince: clock.ExactNow(), strayRuns: make(map[int64]time.Time), runs: make(map[*job.Task]*run), listed: true, ackSignal: make(chan struct{}, 1), wake: make(chan struct{}, 1)}
 	row.room = place.Candidate{Worker: &row.Worker, Free: w.Capacity}
 	row.coldUntil = row.listedSince.Add(w.Cold)
 	return row
@@ -174,7 +174,7 @@
 func (w *worker) readClock(c work.Clock) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lease.Observe(c, w.clock.Sure()) // a time that is too early would make the next deadline too late
+	w.lease.Observe(c, w.clock.ExactNow()) // a time that is too early would make the next deadline too late
 }
 
 // boundLease records that an earlier leader may have leased work there until the given time.
