--- a/admin/server.go
+++ b/admin/server.go
@@ -114,7 +114,7 @@
 }
 
 func writeUnauthorized(w *restful.Response) {
-	writeProblem(w, http.StatusUnauthorized, "unauthorized", "the operator's token is missing or unknown", "set RACKSTEP_TOKEN or use --token-file")
+	writeProblem(w, http.StatusUnauthorized, "unauthorized", "the operator's token is missing or not known", "set RACKSTEP_TOKEN or use --token-file")
 }
 
 func writeProblem(w *restful.Response, status int, reason serve.Reason, detail, remedy string) {
@@ -136,7 +136,7 @@
 	dec := json.NewDecoder(http.MaxBytesReader(w.ResponseWriter, r.Request.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		writeProblem(w, http.StatusBadRequest, "bad-request", "the body is invalid: "+err.Error(), "look at docs/PROTOCOLS.md")
+		writeProblem(w, http.StatusBadRequest, "bad-request", "the body can't be read: "+err.Error(), "look at docs/PROTOCOLS.md")
 		return false
 	}
 	return true
@@ -270,7 +270,7 @@
 		writeError(c.w, err)
 		return
 	case planErr != nil:
-		writeProblem(c.w, http.StatusBadRequest, "bad-request", planErr.Error(), "change the intent as the message says")
+		writeProblem(c.w, http.StatusBadRequest, "bad-request", planErr.Error(), "correct the intent")
 		return
 	}
 	ctx, cancel := context.WithTimeout(c.context(), publishTimeout)
--- a/plan/make.go
+++ b/plan/make.go
@@ -169,7 +169,7 @@
 func exclusionReason(in *fleet.Instance, plan string) string {
 	switch {
 	case plan != "":
-		return "plan " + plan + " has an unfinished step for it; wait for that plan or cancel it"
+		return "plan " + plan + " is at work on it; wait for it or cancel it"
 	case in.State == fleet.InstanceIdle:
 		return "it is in no pool; name it as a member of a pool"
 	case in.State != fleet.InstanceServing:
