--- a/place/outlook.go
+++ b/place/outlook.go
@@ -26,10 +26,10 @@
 	Expected float64
 }
 
-// Parameters of the expected value. They were chosen with loads of short and of bulk jobs like that of
-// TestInOverloadSomeAreInTimeRatherThanAllLate, at 0.7 to 4 times the capacity, with and without an outage (24
-// loads, 16 runs each). They yield 0.690 of the total value on average. A hard cut-off at no slack yields 0.647, and
-// changing any one of the values 0.68 to 0.69.
+// Parameters of the expected value. On loads of short and of bulk jobs like that of
+// TestInOverloadSomeAreInTimeRatherThanAllLate, at 0.7 to 4 times the capacity, with and without an outage, they yield
+// 0.690 of the total value on average. A hard cut-off at no slack yields 0.647, and changing any one of the values
+// 0.68 to 0.69.
 const (
 	// A late job yields latePart of its value until lateFactor times its target time, and nothing afterwards, as
 	// defined by the users' rules.
--- a/pool/demand.go
+++ b/pool/demand.go
@@ -224,7 +224,7 @@
 func (c *session) setTargets(row *maintenance.Pool, now time.Time) {
 	p := c.pool(row.Name)
 	instances := c.demand(p, now)
-	c.turns.Observe(p.name, maintenance.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
+	c.bursts.Observe(p.name, maintenance.Load{Need: instances - p.load.lasting, Used: p.load.running, Have: row.Have}, now)
 	p.recentNeeds = append(p.recentNeeds, needSample{at: now, instances: max(instances, p.load.lasting+p.load.running)})
 	for len(p.recentNeeds) > 0 && now.Sub(p.recentNeeds[0].at) > parkAfter {
 		p.recentNeeds = p.recentNeeds[1:]
@@ -239,7 +239,7 @@
 	row.Want = instances*(1+spareShare) + spareInstances
 	row.Min = recent*(1+spareShare) + spareInstances
 	row.LongTermNeed = peak*(1+spareShare) + spareInstances
-	if c.turns.DemandUnknown(p.name) && now.Sub(c.startedAt) < unknownLoadGrace {
+	if c.bursts.DemandUnknown(p.name) && now.Sub(c.startedAt) < unknownLoadGrace {
 		row.LongTermNeed = float64(row.Have)
 	}
 }
@@ -257,9 +257,9 @@
 		if row.Headroom {
 			continue
 		}
-		need, used, known := c.turns.FullDemand(name, now)
+		need, used, known := c.bursts.FullDemand(name, now)
 		if need == 0 && !known {
-			if !c.turns.Active(name) {
+			if !c.bursts.Active(name) {
 				return
 			}
 			needed += max(float64(row.Have), row.Want) // no pool has completed a burst yet, so the pool keeps what it has
@@ -277,7 +277,7 @@
 	}
 	for name, n := range keep {
 		row := rows[name]
-		if c.turns.DemandUnknown(name) {
+		if c.bursts.DemandUnknown(name) {
 			row.LongTermNeed = 0 // replaces the default of keeping all its instances
 		}
 		row.LongTermNeed = max(row.LongTermNeed, n)
@@ -286,7 +286,7 @@
 
 // setExpected sets the future need of the pools that are expected to become busy next.
 func (c *session) setExpected(rows map[string]*maintenance.Pool, now time.Time) {
-	for _, e := range c.turns.Next(c.Bounds().Move+2*moveOverhead, now) {
+	for _, e := range c.bursts.Next(c.Bounds().Move+2*moveOverhead, now) {
 		if row := rows[e.Pool]; row != nil {
 			row.SoonNeed = c.pool(e.Pool).load.lasting + preparedShare*e.Need
 		}
--- a/pool/demand_test.go
+++ b/pool/demand_test.go
@@ -170,13 +170,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newFixture(quicktest.New(t), nil)
 			rows := make(map[string]*maintenance.Pool)
-			b.turns.Pools = make(map[string]*maintenance.Burst)
+			b.bursts.Pools = make(map[string]*maintenance.Burst)
 			for i := range 3 {
 				name := fmt.Sprint("p", i)
 				rows[name] = &maintenance.Pool{Name: name, Have: test.have, LongTermNeed: test.idle}
-				b.turns.Pools[name] = new(maintenance.Burst)
+				b.bursts.Pools[name] = new(maintenance.Burst)
 				if i < test.over {
-					*b.turns.Pools[name] = maintenance.Burst{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
+					*b.bursts.Pools[name] = maintenance.Burst{Began: time.Now(), Need: 2 * turn, Used: turn, Ended: true}
 				}
 			}
 			b.retainForBursts(rows, time.Now())
--- a/pool/idle.go
+++ b/pool/idle.go
@@ -38,7 +38,7 @@
 // connections. In the latter case the worker's connection is closed. The pause ends early when the worker gets work, and when the store no longer confirms the
 // lead, since then the workers' answers have to prove it.
 func (c *session) pauseIdle(ctx context.Context, w *worker, row *work.Worker) {
-	rest := time.Duration(c.idleRest.Load())
+	rest := time.Duration(c.idlePause.Load())
 	crowded := c.crowded()
 	if crowded {
 		rest = max(rest, crowdedRest)
@@ -54,7 +54,7 @@
 	select {
 	case <-ctx.Done():
 	case <-w.wake:
-	case <-c.alarm.wait():
+	case <-c.pollNow.wait():
 	case <-t.C:
 	}
 }
@@ -64,8 +64,8 @@
 
 // updateIdlePolling recomputes the pause between polls of idle workers, and ends running pauses while the store does not confirm the lead.
 func (c *session) updateIdlePolling(now time.Time) {
-	c.idleRest.Store(int64(idlePollPause(len(c.workers), c.Processor)))
-	c.alarm.set(c.unconfirmed(now))
+	c.idlePause.Store(int64(idlePollPause(len(c.workers), c.Processor)))
+	c.pollNow.set(c.unconfirmed(now))
 }
 
 // latch is a broadcast flag that goroutines can wait for. The zero value is not set.
--- a/pool/load.go
+++ b/pool/load.go
@@ -29,7 +29,7 @@
 	workersKey     = "workers"
 	// instancesKey holds the number of instances of which the leader last required a majority, see session.instances.
 	instancesKey = "instances"
-	lessonsKey   = "lessons"
+	statsKey     = "lessons"
 	// idConflictKey is the prefix for jobs that can't run because another organisation's job has the same ID.
 	idConflictKey = "t/"
 )
@@ -200,7 +200,7 @@
 			c.decodeRecord(r, &c.previousInstances)
 		case strings.HasPrefix(r.Key, waveKey):
 			c.restoreWave(r)
-		case r.Key == lessonsKey:
+		case r.Key == statsKey:
 			c.restoreStats(r, now)
 		case strings.HasPrefix(r.Key, idConflictKey):
 			c.restoreIDConflict(r, now)
--- a/pool/queuestats.go
+++ b/pool/queuestats.go
@@ -29,10 +29,10 @@
 }
 
 func (c *session) statsOf(queue string) *queueStats {
-	l := c.lessons[queue]
+	l := c.statsByQueue[queue]
 	if l == nil {
 		l = &queueStats{variance: initialVariance, estimateError: initialVariance}
-		c.lessons[queue] = l
+		c.statsByQueue[queue] = l
 	}
 	return l
 }
--- a/pool/recordsize_test.go
+++ b/pool/recordsize_test.go
@@ -97,7 +97,7 @@
 		q := fmt.Sprintf("r-%07d", i)
 		x.statsOf(q).runs = 1
 		x.pool(fmt.Sprintf("pool-%04d", i)).meanRunSeconds = 1.5
-		x.turns.Observe(fmt.Sprintf("pool-%04d", i), maintenance.Load{Need: 1, Used: 1, Have: 1}, x.now())
+		x.bursts.Observe(fmt.Sprintf("pool-%04d", i), maintenance.Load{Need: 1, Used: 1, Have: 1}, x.now())
 	}
 	j := job.New(&job.Spec{ID: "00000000000000a1", Queue: "q", Pool: "p", Steps: []job.Step{{Count: testStepTasks, Need: job.Need{MilliCPU: 1}}}}, x.now())
 	x.jobs[j.Spec.ID] = j
--- a/pool/session.go
+++ b/pool/session.go
@@ -52,8 +52,8 @@
 	incarnationsByID map[string][]*worker
 	// tokens holds the fencing token of each worker ID, including IDs that no incarnation has any more.
 	tokens map[string]*atomic.Int64
-	// foreign holds the entries in the list of workers that do not describe a usable worker.
-	foreign unusableEntries
+	// unusable holds the entries in the list of workers that do not describe a usable worker.
+	unusable unusableEntries
 	// endedIncarnations holds the incarnations that have ended.
 	endedIncarnations map[string]bool
 	// dirtyJobs and dirtyIncarnations hold the jobs and incarnations with unstored changes. legacyWorkersRecord is set while the
@@ -138,8 +138,8 @@
 	machinesAsking     bool
 	machinesListTime   time.Duration // how long the last list took
 	firstHoldSemaphore callSemaphore // limits first holds, to workers that have not answered yet
-	idleRest           atomic.Int64  // pause between holds to a worker without work, see updateIdlePolling
-	alarm              latch         // ends those pauses
+	idlePause          atomic.Int64  // pause between holds to a worker without work, see updateIdlePolling
+	pollNow            latch         // ends those pauses
 	machines           map[string]Machine
 	machineNames       []string // names of the machines, see instanceNames
 	tickets            map[string]*stepTickets
@@ -149,11 +149,11 @@
 	cpuShortage        cpuShortage
 	fleetScan          scanPacer      // paces the scans over all instances: waves and the sizes of pools
 	surplus            map[string]int // number of instances that each pool could give up, according to the latest sizing
-	turns              maintenance.Bursts
+	bursts             maintenance.Bursts
 	meanCapacity       job.Need // mean capacity of an instance
 	startedAt          time.Time
-	lessons            map[string]*queueStats
-	lessonsStoredAt    time.Time // when the lessons were last stored
+	statsByQueue       map[string]*queueStats
+	statsStoredAt      time.Time // when the statistics were last stored
 	// sideKeys is the set of keys of the stored side records of jobs.
 	sideKeys map[string]bool
 	// silentPending counts the silent workers whose next incarnation may carry out an unanswered start.
@@ -177,7 +177,7 @@
 		intakePartitions: make(map[job.QualifiedID]uint64), cancelled: make(map[job.QualifiedID]bool), idConflicts: make(map[job.QualifiedID]*idConflict),
 		uncertainIncarnations: make(map[string]*worker), takeoverSteps: make(map[string]bool), storedIncarnations: make(map[string]bool), waveStates: make(map[int64]*waveState), drains: make(drains), firstHoldSemaphore: newCallSemaphore(),
 		machines: make(map[string]Machine), tickets: make(map[string]*stepTickets),
-		moves: make(map[string]*pendingMove), sideKeys: make(map[string]bool), trials: make(map[*worker]bool), fenced: make(map[string]bool), fencing: make(map[string]bool), lessons: make(map[string]*queueStats), unmovable: make(map[string]time.Time), movedAt: make(map[string]time.Time),
+		moves: make(map[string]*pendingMove), sideKeys: make(map[string]bool), trials: make(map[*worker]bool), fenced: make(map[string]bool), fencing: make(map[string]bool), statsByQueue: make(map[string]*queueStats), unmovable: make(map[string]time.Time), movedAt: make(map[string]time.Time),
 	}
 	c.aside = make(asideRecords)
 	c.writer = c.newWriter()
--- a/pool/size.go
+++ b/pool/size.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		p.loggedSize, p.loggedAt = *row, now
-		need, used, known := c.turns.FullDemand(name, now)
+		need, used, known := c.bursts.FullDemand(name, now)
 		c.emit(event.PoolSized, event.Subject{Entry: c.Entry}, "pool=%s have=%d want=%.0f keep=%.0f idle=%.0f soon=%.0f lasting=%.0f running=%.0f waiting=%.0f turn=%.0f used=%.0f known=%t",
 			name, row.Have, row.Want, row.Min, row.LongTermNeed, row.SoonNeed, p.load.lasting, p.load.running, p.load.waitingCapacity, need, used, known)
 	}
--- a/pool/storedstats.go
+++ b/pool/storedstats.go
@@ -24,11 +24,11 @@
 type storedStats struct {
 	Queues map[string]storedQueueStats `cbor:"1,keyasint,omitempty"`
 	// Ran holds the mean run time of each pool in seconds.
-	Ran   map[string]float64    `cbor:"2,keyasint,omitempty"`
-	Turns map[string]storedTurn `cbor:"3,keyasint,omitempty"`
-	Gap   time.Duration         `cbor:"4,keyasint,omitempty"`
-	Last  string                `cbor:"5,keyasint,omitempty"`
-	Round bool                  `cbor:"6,keyasint,omitempty"`
+	Ran    map[string]float64     `cbor:"2,keyasint,omitempty"`
+	Bursts map[string]storedBurst `cbor:"3,keyasint,omitempty"`
+	Gap    time.Duration          `cbor:"4,keyasint,omitempty"`
+	Last   string                 `cbor:"5,keyasint,omitempty"`
+	Round  bool                   `cbor:"6,keyasint,omitempty"`
 }
 
 // storedQueueStats holds the statistics of one queue, see queueStats.
@@ -40,9 +40,9 @@
 	Work   float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// storedTurn holds the load statistics of one pool, see maintenance.Turn.
-type storedTurn struct {
-	// Ago is the time since the turn began, or 0 if the pool had none.
+// storedBurst holds the load statistics of one pool, see maintenance.Burst.
+type storedBurst struct {
+	// Ago is the time since the burst began, or 0 if the pool had none.
 	Ago    time.Duration `cbor:"1,keyasint,omitempty"`
 	Need   float64       `cbor:"2,keyasint,omitempty"`
 	Loaded bool          `cbor:"3,keyasint,omitempty"`
@@ -53,24 +53,24 @@
 
 // appendStats appends the statistics to a batch if statsInterval has passed.
 func (c *session) appendStats(now time.Time, records []feed.KeyedRecord) []feed.KeyedRecord {
-	if now.Sub(c.lessonsStoredAt) < statsInterval || len(c.lessons) == 0 {
+	if now.Sub(c.statsStoredAt) < statsInterval || len(c.statsByQueue) == 0 {
 		return records
 	}
-	c.lessonsStoredAt = now
+	c.statsStoredAt = now
 	value, err := job.Encode(c.collectStats(now))
 	if err != nil {
 		c.emit(event.RecordRefused, event.Subject{Entry: c.Entry}, "lessons not kept: %v", err)
 		return records // the tables do not depend on the statistics
 	}
-	return append(records, feed.KeyedRecord{Key: lessonsKey, Value: value})
+	return append(records, feed.KeyedRecord{Key: statsKey, Value: value})
 }
 
 func (c *session) collectStats(now time.Time) storedStats {
 	k := storedStats{
-		Queues: make(map[string]storedQueueStats), Ran: make(map[string]float64), Turns: make(map[string]storedTurn),
-		Gap: c.turns.Interval, Last: c.turns.Last, Round: c.turns.SecondRound,
+		Queues: make(map[string]storedQueueStats), Ran: make(map[string]float64), Bursts: make(map[string]storedBurst),
+		Gap: c.bursts.Interval, Last: c.bursts.Last, Round: c.bursts.SecondRound,
 	}
-	for name, l := range c.lessons {
+	for name, l := range c.statsByQueue {
 		k.Queues[name] = storedQueueStats{Runs: l.runs, Mean: l.mean, Spread: l.variance, Wrong: l.estimateError, Work: l.work}
 	}
 	for name, p := range c.pools {
@@ -78,12 +78,12 @@
 			k.Ran[name] = p.meanRunSeconds
 		}
 	}
-	for name, t := range c.turns.Pools {
-		kept := storedTurn{Need: t.Need, Loaded: t.Active, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
+	for name, t := range c.bursts.Pools {
+		kept := storedBurst{Need: t.Need, Loaded: t.Active, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if !t.Began.IsZero() {
 			kept.Ago = now.Sub(t.Began)
 		}
-		k.Turns[name] = kept
+		k.Bursts[name] = kept
 	}
 	return k
 }
@@ -95,17 +95,17 @@
 		return
 	}
 	for name, l := range k.Queues {
-		c.lessons[name] = &queueStats{runs: l.Runs, mean: l.Mean, variance: l.Spread, estimateError: l.Wrong, work: l.Work}
+		c.statsByQueue[name] = &queueStats{runs: l.Runs, mean: l.Mean, variance: l.Spread, estimateError: l.Wrong, work: l.Work}
 	}
 	for name, ran := range k.Ran {
 		c.pool(name).meanRunSeconds = ran
 	}
-	c.turns = maintenance.Bursts{Pools: make(map[string]*maintenance.Burst, len(k.Turns)), Interval: k.Gap, Last: k.Last, SecondRound: k.Round}
-	for name, t := range k.Turns {
+	c.bursts = maintenance.Bursts{Pools: make(map[string]*maintenance.Burst, len(k.Bursts)), Interval: k.Gap, Last: k.Last, SecondRound: k.Round}
+	for name, t := range k.Bursts {
 		row := &maintenance.Burst{Need: t.Need, Active: t.Loaded, Missed: t.Missed, Ended: t.Ended, Used: t.Used}
 		if t.Ago > 0 {
 			row.Began = now.Add(-t.Ago - statsAge)
 		}
-		c.turns.Pools[name] = row
+		c.bursts.Pools[name] = row
 	}
 }
--- a/pool/unreadable_test.go
+++ b/pool/unreadable_test.go
@@ -35,7 +35,7 @@
 	c.Assert(b.workers["w1"], quicktest.IsNotNil, quicktest.Commentf("an unreadable entry must not end a life"))
 	b.applyWorkerRecord("w1", []byte("p"))
 	c.Assert(b.placeAndCount(), quicktest.Equals, 2)
-	c.Assert(b.foreign.entries, quicktest.HasLen, 0)
+	c.Assert(b.unusable.entries, quicktest.HasLen, 0)
 }
 
 func TestAnEntryOfAPoolThatIsAddedLaterIsReadThen(t *testing.T) {
@@ -97,7 +97,7 @@
 	for i := range maxUnusable + 10 {
 		b.applyWorkerRecord(fmt.Sprint("x", i), []byte{0})
 	}
-	c.Assert(b.foreign.entries, quicktest.HasLen, maxUnusable)
+	c.Assert(b.unusable.entries, quicktest.HasLen, maxUnusable)
 	b.applyWorkerRecord("x1", nil)
-	c.Assert(b.foreign.entries, quicktest.HasLen, maxUnusable-1)
+	c.Assert(b.unusable.entries, quicktest.HasLen, maxUnusable-1)
 }
--- a/pool/unusable.go
+++ b/pool/unusable.go
@@ -63,16 +63,16 @@
 	for _, w := range known {
 		w.unreadable = true
 	}
-	if !c.foreign.has(id) && len(c.foreign.entries) < maxUnusableEvents {
+	if !c.unusable.has(id) && len(c.unusable.entries) < maxUnusableEvents {
 		c.emit(event.RecordRefused, event.Subject{Instance: id}, "list of workers: known=%t err=%q", len(known) > 0, err)
 	}
-	c.foreign.put(id, value)
+	c.unusable.put(id, value)
 }
 
 // acceptEntry records that the entry with the given ID is usable again.
 func (c *session) acceptEntry(id string) {
-	if c.foreign.has(id) {
-		c.foreign.drop(id)
+	if c.unusable.has(id) {
+		c.unusable.drop(id)
 		c.emit(event.WorkerSeen, event.Subject{Instance: id}, "its entry can be read again")
 	}
 	for _, w := range c.incarnationsWithID(id) {
@@ -85,7 +85,7 @@
 
 // retryUnusable parses the unusable entries of unknown workers again after a change of the configuration.
 func (c *session) retryUnusable() {
-	for id, value := range maps.Clone(c.foreign.entries) {
+	for id, value := range maps.Clone(c.unusable.entries) {
 		if len(c.incarnationsWithID(id)) > 0 {
 			continue // this is the unusable entry of a known worker
 		}
--- a/pool/workers.go
+++ b/pool/workers.go
@@ -115,7 +115,7 @@
 // A record of another incarnation under the same ID does not end a listed incarnation; which of them is alive is known only from the answers to calls.
 func (c *session) applyWorkerRecord(id string, value []byte) *worker {
 	if len(value) == 0 {
-		c.foreign.drop(id)
+		c.unusable.drop(id)
 		for _, w := range c.incarnationsWithID(id) {
 			if w.listed {
 				c.markUnlisted(w)
@@ -337,7 +337,7 @@
 			c.expireLease(w, now)
 		}
 	}
-	c.counts.unreadableEntries.Update(float64(len(c.foreign.entries)))
+	c.counts.unreadableEntries.Update(float64(len(c.unusable.entries)))
 	c.silentPending.Store(pending)
 	c.counts.silentWorkers.Update(float64(workers))
 	c.counts.uncertainRuns.Update(float64(runs))
