--- a/internal/trial/race_test.go
+++ b/internal/trial/race_test.go
@@ -40,5 +40,5 @@
 	<-done
 	v := s.Evaluate(load.Replies())
 	c.Assert(v.RanTwice+v.Mismatched+v.RanAfterNotRun+v.DuringMaintenance, quicktest.Equals, 0, quicktest.Commentf("%+v", v))
-	c.Assert(s.Platform.Cuts(), quicktest.HasLen, 0)
+	c.Assert(s.Platform.Interruptions(), quicktest.HasLen, 0)
 }
