--- a/pool/advice.go
+++ b/pool/advice.go
@@ -60,7 +60,7 @@
 
 func (c *session) hasCapacity(w *worker, g *place.Group, now time.Time) bool {
 	need := place.Charge(&g.Job.Spec.Steps[g.Step])
-	free := w.room.Free
+	free := w.candidate.Free
 	return w.usable(now) && free.MilliCPU >= need.MilliCPU && free.MemoryMB >= need.MemoryMB && free.GPU >= need.GPU
 }
 
@@ -79,7 +79,7 @@
 	if len(candidates) == 0 {
 		return
 	}
-	slices.SortFunc(candidates, func(a, b *worker) int { return cmp.Compare(b.room.Free.MilliCPU, a.room.Free.MilliCPU) })
+	slices.SortFunc(candidates, func(a, b *worker) int { return cmp.Compare(b.candidate.Free.MilliCPU, a.candidate.Free.MilliCPU) })
 	incarnations := make([]string, 0, maxAdviceCandidates)
 	for _, w := range candidates[:min(maxAdviceCandidates, len(candidates))] {
 		incarnations = append(incarnations, w.Incarnation)
--- a/pool/capacity_test.go
+++ b/pool/capacity_test.go
@@ -42,7 +42,7 @@
 		b.commitAll()
 		synctest.Wait()
 		c.Check(sent.Load(), quicktest.Equals, int64(2))
-		c.Check(b.workers["w1"].room.Free.MilliCPU, quicktest.Equals, 500)
+		c.Check(b.workers["w1"].candidate.Free.MilliCPU, quicktest.Equals, 500)
 		b.setCapacity("w1", 4000)
 		b.report("w1", 30, []work.RunStatus{{Task: startedTaskName(b, 0), Run: startedRun(b, 0)}, {Task: startedTaskName(b, 1), Run: startedRun(b, 1)}})
 		c.Check(b.placeAndCount(), quicktest.Equals, 2)
@@ -136,7 +136,7 @@
 				for _, x := range w.supersededRuns {
 					free = free.Minus(place.Charge(x.step))
 				}
-				c.Assert(w.room.Free, quicktest.Equals, free, quicktest.Commentf("seed %d", seed))
+				c.Assert(w.candidate.Free, quicktest.Equals, free, quicktest.Commentf("seed %d", seed))
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
--- a/pool/demand.go
+++ b/pool/demand.go
@@ -104,9 +104,9 @@
 	}
 	for _, w := range c.workers {
 		p := c.pool(w.Pool)
-		used := job.Need{MilliCPU: w.Capacity.MilliCPU - w.room.Free.MilliCPU, MemoryMB: w.Capacity.MemoryMB - w.room.Free.MemoryMB}
+		used := job.Need{MilliCPU: w.Capacity.MilliCPU - w.candidate.Free.MilliCPU, MemoryMB: w.Capacity.MemoryMB - w.candidate.Free.MemoryMB}
 		var lasting job.Need
-		if w.room.Serving+w.room.Filling > 0 {
+		if w.candidate.Serving+w.candidate.Filling > 0 {
 			lasting = longRunningNeed(w)
 		}
 		p.load.lasting += instanceShare(lasting, instance)
@@ -338,7 +338,7 @@
 		unplaced := len(g.Tasks)
 		for _, w := range c.workers {
 			if w.Pool == p.name && w.usable(now) {
-				unplaced -= g.Fits(&w.room)
+				unplaced -= g.Fits(&w.candidate)
 			}
 		}
 		if unplaced <= 0 {
@@ -354,7 +354,7 @@
 // lasting task that fits on no other worker.
 func (c *session) countStranded(p *poolRow, lacks map[string]int, now time.Time) {
 	for _, w := range c.workers {
-		if w.Pool != p.name || !(w.beingEmptied || w.drained) || w.room.Serving+w.room.Filling == 0 {
+		if w.Pool != p.name || !(w.beingEmptied || w.drained) || w.candidate.Serving+w.candidate.Filling == 0 {
 			continue
 		}
 		for t := range w.runs {
--- a/pool/drain_test.go
+++ b/pool/drain_test.go
@@ -110,7 +110,7 @@
 		b.soleLeaderFrom = time.Now()
 		b.Machines.Move = func(context.Context, string, string, int64) error { return nil }
 		time.Sleep(time.Minute)
-		b.workers["b1"].room.Free.MilliCPU = 3000
+		b.workers["b1"].candidate.Free.MilliCPU = 3000
 		var rows []work.RunStatus
 		for i := range 4 {
 			rows = append(rows, work.RunStatus{Task: fmt.Sprintf("00000000000000a1.0.0.%d", i), Run: int64(i + 1), Percent: 100})
--- a/pool/maintenance.go
+++ b/pool/maintenance.go
@@ -228,7 +228,7 @@
 func (c *session) markDue(row *waveState) {
 	for _, m := range row.Machines {
 		if w := c.listedWorkerOn(m); w != nil {
-			w.room.MaintenanceDue = !row.begun[m]
+			w.candidate.MaintenanceDue = !row.begun[m]
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	var waiting []maintenance.Candidate
 	for _, m := range row.Machines {
 		if s := row.steps[m]; s != nil {
-			if incarnation := c.workers[s.incarnation]; incarnation != nil && !s.away && incarnation.room.Serving+incarnation.room.Filling > 0 {
+			if incarnation := c.workers[s.incarnation]; incarnation != nil && !s.away && incarnation.candidate.Serving+incarnation.candidate.Filling > 0 {
 				w.OutLasting++
 			}
 			continue
@@ -253,7 +253,7 @@
 		}
 		x := maintenance.Candidate{Name: m, Pool: c.machines[m].Pool}
 		if incarnation := c.listedWorkerOn(m); incarnation != nil {
-			x.Runs, x.Lasting = len(incarnation.runs), incarnation.room.Serving+incarnation.room.Filling
+			x.Runs, x.Lasting = len(incarnation.runs), incarnation.candidate.Serving+incarnation.candidate.Filling
 		}
 		waiting = append(waiting, x)
 	}
@@ -385,7 +385,7 @@
 	c.countPlacedTasks(g, t.Spec())
 	pool := c.queue(t.Job).Pool
 	for _, w := range c.workers {
-		if w.Pool == pool && w.usable(now) && g.Fits(&w.room) > 0 {
+		if w.Pool == pool && w.usable(now) && g.Fits(&w.candidate) > 0 {
 			return true
 		}
 	}
--- a/pool/orders.go
+++ b/pool/orders.go
@@ -87,7 +87,7 @@
 		return
 	}
 	// The worker's capacity may have shrunk or the organisation's cap been lowered since the run was planned.
-	if t.Job.State.Ended() || !w.usable(now) || w.room.Free.AnyNegative() || c.ledger.OverCap(t.Job.Spec.Organisation, t.Spec().Need) {
+	if t.Job.State.Ended() || !w.usable(now) || w.candidate.Free.AnyNegative() || c.ledger.OverCap(t.Job.Spec.Organisation, t.Spec().Need) {
 		w.dropRun(t)
 		c.requeue(t)
 		return
@@ -105,7 +105,7 @@
 		Task: t.Name(), Run: r.number, Text: t.Job.Spec.Text, Deadline: r.deadline,
 		Fence: w.token.Load(), Saved: t.Saved, Ticket: r.ticket,
 	}
-	c.emit(event.RunOrdered, event.Subject{Job: o.Task, Instance: w.Incarnation}, "run=%d waited=%v slack=%v free=%d config=%d", r.number, c.now().Sub(t.Job.Received).Round(time.Millisecond), r.slack.Round(time.Millisecond), w.room.Free.MilliCPU, c.config.Version)
+	c.emit(event.RunOrdered, event.Subject{Job: o.Task, Instance: w.Incarnation}, "run=%d waited=%v slack=%v free=%d config=%d", r.number, c.now().Sub(t.Job.Received).Round(time.Millisecond), r.slack.Round(time.Millisecond), w.candidate.Free.MilliCPU, c.config.Version)
 	c.counts.ordered.Inc(1)
 	c.reportTakeoverStep("first-start", now)
 	if !t.Job.Began {
--- a/pool/pace.go
+++ b/pool/pace.go
@@ -19,9 +19,9 @@
 // paceFills limits the CPU share of the filler tasks of a worker so that the tail latencies of the serving tasks beside them stay below their
 // targets.
 func (c *session) paceFills(w *worker, now time.Time) {
-	mixed := w.room.Filling > 0 && w.room.Serving > 0
+	mixed := w.candidate.Filling > 0 && w.candidate.Serving > 0
 	w.mixedLoad.Store(mixed)
-	if w.room.Filling == 0 {
+	if w.candidate.Filling == 0 {
 		return
 	}
 	worstTail := 0.0
--- a/pool/placing.go
+++ b/pool/placing.go
@@ -193,7 +193,7 @@
 			p.dirty = true // retried with the next tick
 		}
 		if w.usable(now) && w.trial == nil && c.storedIncarnations[w.Incarnation] && (w.listedAtConfirmation || confirmed) {
-			r := w.room
+			r := w.candidate
 			r.RecentStart = now.Sub(w.lastStartAt) <= similarAge
 			r.Cold = now.Before(w.coldUntil)
 			copies = append(copies, r)
--- a/pool/scheduler_bench_test.go
+++ b/pool/scheduler_bench_test.go
@@ -41,7 +41,7 @@
 	for _, w := range t.workers {
 		w.Pool = "p"
 		w.Capacity = job.Need{MilliCPU: 16000, MemoryMB: 64000}
-		w.room.Free = w.Capacity
+		w.candidate.Free = w.Capacity
 	}
 	t.State.Append = func(context.Context, feed.Batch) (int64, error) { return 1, nil }
 	t.Calls.Start = func(context.Context, *work.Worker, work.Start) (work.Answer, error) {
--- a/pool/shares.go
+++ b/pool/shares.go
@@ -120,12 +120,12 @@
 		largest = largest.Max(w.Capacity)
 		switch {
 		case w.unreadRuns > 0 || w.unknownRuns > 0:
-			ofUnknownJobs = ofUnknownJobs.Plus(w.room.Free.Max(job.Need{}))
+			ofUnknownJobs = ofUnknownJobs.Plus(w.candidate.Free.Max(job.Need{}))
 		case !mayHaveUnstored || c.uncertainIncarnations[w.Incarnation] == nil:
 		case w.Capacity == (job.Need{}):
 			unknownCapacity++
 		default:
-			unstored = unstored.Plus(w.room.Free.Max(job.Need{}))
+			unstored = unstored.Plus(w.candidate.Free.Max(job.Need{}))
 		}
 	}
 	// The capacity of a stored incarnation that is no longer listed is not known. It is taken to be that of the largest worker.
--- a/pool/shares_test.go
+++ b/pool/shares_test.go
@@ -316,7 +316,7 @@
 		}
 		c.Assert(told(), quicktest.DeepEquals, []string{`why=cap organisation="a" step=0 tasks=1 running=2 held=2000m/0MB cap=2000m/0MB`})
 		b.setCap(8000)
-		b.workers["w1"].room.Free = job.Need{}
+		b.workers["w1"].candidate.Free = job.Need{}
 		b.placeAndCount()
 		c.Assert(told(), quicktest.HasLen, 2)
 		c.Assert(told()[1], quicktest.Contains, "why=room")
--- a/pool/tables.go
+++ b/pool/tables.go
@@ -21,8 +21,8 @@
 type worker struct {
 	work.Worker
 	clock *clock.Clock
-	// room is the worker's free capacity according to this table.
-	room place.Candidate
+	// candidate is the worker with its free capacity, according to this table.
+	candidate place.Candidate
 	// runs are the tasks whose latest run is, or may be, on this worker.
 	runs map[*job.Task]*run
 	// ledger counts the resources that each organisation uses. Runs added to and dropped from this row are counted
@@ -157,7 +157,7 @@
 
 func newWorker(w work.Worker, clock *clock.Clock, ledger *org.Ledger) *worker {
 	row := &worker{Worker: w, clock: clock, ledger: ledger, listedSince: clock.ExactNow(), strayRuns: make(map[int64]time.Time), runs: make(map[*job.Task]*run), listed: true, ackSignal: make(chan struct{}, 1), wake: make(chan struct{}, 1)}
-	row.room = place.Candidate{Worker: &row.Worker, Free: w.Capacity}
+	row.candidate = place.Candidate{Worker: &row.Worker, Free: w.Capacity}
 	row.coldUntil = row.listedSince.Add(w.Cold)
 	return row
 }
@@ -263,11 +263,11 @@
 // ended.
 func (w *worker) setSupersededRuns(now []supersededRun) {
 	for _, b := range w.supersededRuns {
-		w.room.Free = w.room.Free.Plus(place.Charge(b.step))
+		w.candidate.Free = w.candidate.Free.Plus(place.Charge(b.step))
 		w.ledger.Release(b.organisation, b.step.Need)
 	}
 	for _, b := range now {
-		w.room.Free = w.room.Free.Minus(place.Charge(b.step))
+		w.candidate.Free = w.candidate.Free.Minus(place.Charge(b.step))
 		w.ledger.Acquire(b.organisation, b.step.Need)
 	}
 	w.supersededRuns = now
@@ -281,14 +281,14 @@
 	} else {
 		w.ledger.Release(t.Job.Spec.Organisation, s.Need)
 	}
-	w.room.Free.MilliCPU += sign * n.MilliCPU
-	w.room.Free.MemoryMB += sign * n.MemoryMB
-	w.room.Free.GPU += sign * n.GPU
+	w.candidate.Free.MilliCPU += sign * n.MilliCPU
+	w.candidate.Free.MemoryMB += sign * n.MemoryMB
+	w.candidate.Free.GPU += sign * n.GPU
 	switch {
 	case s.Lasting && s.Fills:
-		w.room.Filling -= sign
+		w.candidate.Filling -= sign
 	case s.Lasting:
-		w.room.Serving -= sign
+		w.candidate.Serving -= sign
 	default:
 		w.finiteRuns.Add(int32(-sign))
 	}
--- a/pool/workers.go
+++ b/pool/workers.go
@@ -151,7 +151,7 @@
 	if row.Capacity != w.Capacity {
 		c.emit(event.WorkerSeen, event.Subject{Instance: w.Incarnation}, "machine=%s pool=%s room=%d before=%d", row.Machine, row.Pool, row.Capacity.MilliCPU, w.Capacity.MilliCPU)
 	}
-	w.room.Free = w.room.Free.Plus(row.Capacity.Minus(w.Capacity)) // negative if the capacity is now less than the running tasks need
+	w.candidate.Free = w.candidate.Free.Plus(row.Capacity.Minus(w.Capacity)) // negative if the capacity is now less than the running tasks need
 	startsLeaving := row.Leaving && !w.Leaving
 	if row.Machine != w.Machine {
 		heard := w.answered
