--- a/pool/suspects.go
+++ b/pool/suspects.go
@@ -193,7 +193,7 @@
 	c.trials[w] = true
 }
 
-// placeSuspects starts suspects in trials and returns the rooms that remain for other tasks.
+// placeSuspects starts suspects in trials and returns the candidates that remain for other tasks.
 func (c *session) placeSuspects(p *poolRow, groups []*place.Group, candidates []*place.Candidate, draft *org.Draft, now time.Time) []*place.Candidate {
 	if !hasSuspect(groups) {
 		return candidates
