--- a/pool/workers.go
+++ b/pool/workers.go
@@ -421,7 +421,7 @@
 func (c *session) removeIncarnation(w *worker, why string) {
 	c.emit(event.WorkerLost, event.Subject{Instance: w.Incarnation}, "%s runs=%d", why, len(w.runs))
 	c.counts.lost.Inc(1)
-	if c.endedIncarnations[w.Incarnation] && (w.successor == nil || w.BootID != 0) { // an heir of an incarnation without a boot ID may be the same incarnation
+	if c.endedIncarnations[w.Incarnation] && (w.successor == nil || w.BootID != 0) { // a successor of an incarnation without a boot ID may be the same incarnation
 		c.attributeLostRuns(w, c.now())
 	}
 	c.abandonRuns(w, func(*job.Task, *run) bool { return true })
